--- a/internal/mesh/maintenance/clock.go
+++ b/internal/mesh/maintenance/clock.go
@@ -7,18 +7,19 @@
 	"github.com/juju/errors"
 )
 
-// ErrNoAgreedTime says that no majority of the members' clocks agrees on a time, and no time was agreed on before.
+// ErrNoAgreedTime says that no majority of the members' clocks agrees on a time, and that the time agreed on before cannot be
+// extrapolated: there is none, or there was no leader for an unknown time.
 const ErrNoAgreedTime = errors.ConstError("no majority of the members' clocks agrees on the time of day")
 
 const (
-	// MaxClockError is by how much a correct clock may be off. The agreed time is correct within that and half a round trip, as long as
-	// fewer than half of the members' clocks are wrong.
+	// MaxClockError is the largest error of a clock that counts as correct. As long as fewer than half of the members' clocks are
+	// wrong, the error of the agreed time is at most this plus half a round trip.
 	MaxClockError = 250 * time.Millisecond
 
-	// MaxDrift is by how much a monotonic clock may run fast or slow, as a ratio.
+	// MaxDrift is the largest rate error of a monotonic clock, fast or slow, as a ratio.
 	MaxDrift = 1e-4
 
-	// LeaderlessUnknown stands for a time without a leader whose length is not known.
+	// LeaderlessUnknown is passed to Clock.Agree if it is not known how long there was no leader.
 	LeaderlessUnknown time.Duration = -1
 )
 
@@ -28,32 +29,32 @@
 	Latest   time.Time `json:"Latest"`
 }
 
-// advance returns the bounds after some time has passed by a monotonic clock.
-func (b TimeBounds) advance(passed time.Duration) TimeBounds {
-	passed = max(0, passed)
-	drift := time.Duration(float64(passed) * MaxDrift)
-	return TimeBounds{b.Earliest.Add(passed - drift), b.Latest.Add(passed + drift)}
+// advance returns the bounds after some time has elapsed on a monotonic clock. They widen by its possible drift.
+func (b TimeBounds) advance(elapsed time.Duration) TimeBounds {
+	elapsed = max(0, elapsed)
+	drift := time.Duration(float64(elapsed) * MaxDrift)
+	return TimeBounds{b.Earliest.Add(elapsed - drift), b.Latest.Add(elapsed + drift)}
 }
 
-// ClockSample is a member's time of day at ReadAt of the asking member's monotonic clock, within half of RoundTrip.
+// ClockSample is one reading of a member's clock, requested by another member over the network.
 type ClockSample struct {
-	Member    uint64
-	Wall      time.Time
-	ReadAt    time.Duration
-	RoundTrip time.Duration
+	Member    uint64        // whose clock was read
+	Wall      time.Time     // the time of day that it showed
+	ReadAt    time.Duration // when, by the requesting member's monotonic clock, within half of RoundTrip
+	RoundTrip time.Duration // of the request
 }
 
-// Clock is the agreed time of day at a log time: between Earliest and Latest, provided that fewer than half of the clocks are wrong. It is
-// replicated state. The zero value says that no time was agreed on.
+// Clock is the time of day that the members have agreed on, at a log time. The true time is between Earliest and Latest, provided that
+// fewer than half of the members' clocks are wrong. It is replicated state. The zero value means that no time was agreed on.
 type Clock struct {
 	LogTime  time.Duration `json:"Stamp"`
 	Earliest time.Time     `json:"Earliest"`
 	Latest   time.Time     `json:"Latest"`
-	// InDoubt says that a majority of clocks contradicts the time agreed on before. The bounds then include both, so that no window is
-	// used that either of the two times considers closed.
+	// InDoubt says that a majority of the clocks contradicts the time agreed on before. The bounds then include both times, so that a
+	// window is used only if it is open at both.
 	InDoubt bool `json:"Doubt"`
-	// Steady is, while in doubt, the time agreed on before, advanced by log time. Later samples are compared with that, rather than with
-	// what the same clocks have said before.
+	// Steady is, while InDoubt, the time agreed on before, advanced by log time. Later samples are compared with it rather than with the
+	// bounds, which include what the same clocks said before.
 	Steady TimeBounds `json:"Steady"`
 }
 
@@ -65,13 +66,15 @@
 // Now returns the time of day at a later log time.
 func (c Clock) Now(logTime time.Duration) TimeBounds { return c.bounds().advance(logTime - c.LogTime) }
 
-// Agree returns the next agreed time at a log time. It combines the time agreed on so far with samples of the
-// members' clocks, as of a time at of the asking member's monotonic clock. members is the number of members.
-// leaderless is how long there was no leader since the last agreed time, during which log time did not advance:
-// measured by a member that ran all the time, or LeaderlessUnknown, in which case the upper bound follows from the
-// samples alone. On ErrNoAgreedTime the clock is unchanged.
-func (c Clock) Agree(logTime time.Duration, samples []ClockSample, at time.Duration, members int, leaderless time.Duration) (Clock, error) {
-	measured, majority := intersectSamples(samples, at, members/2+1)
+// Agree returns the next agreed time, at logTime. It combines the time agreed on so far with samples of the members'
+// clocks. monotonicNow is the current time of the monotonic clock that the samples' ReadAt refers to, and members the
+// number of members. leaderless is how long there was no leader since the last agreed time; log time does not advance
+// meanwhile. It is measured by a member that ran all that time, or LeaderlessUnknown, in which case the samples alone
+// determine the upper bound. On ErrNoAgreedTime the clock is unchanged.
+func (c Clock) Agree(
+	logTime time.Duration, samples []ClockSample, monotonicNow time.Duration, members int, leaderless time.Duration,
+) (Clock, error) {
+	measured, majority := intersectSamples(samples, monotonicNow, members/2+1)
 	if !c.IsKnown() {
 		if !majority {
 			return c, ErrNoAgreedTime
@@ -80,7 +83,7 @@
 	}
 	expected := c.expected(logTime, leaderless)
 	if !majority {
-		return c.carryOn(logTime, expected, leaderless)
+		return c.extrapolate(logTime, expected, leaderless)
 	}
 	if leaderless < 0 {
 		expected.Latest = laterOf(expected.Earliest, measured.Latest)
@@ -98,7 +101,7 @@
 	}, nil
 }
 
-// expected returns the time of day at a log time according to the agreed time alone.
+// expected returns the time of day at a log time as it follows from the agreed time, without any new samples.
 func (c Clock) expected(logTime, leaderless time.Duration) TimeBounds {
 	agreed := c.bounds()
 	if c.InDoubt && !c.Steady.Earliest.IsZero() { // earlier versions did not store Steady
@@ -109,8 +112,8 @@
 	return expected
 }
 
-// carryOn returns the next agreed time if no majority of clocks agrees.
-func (c Clock) carryOn(logTime time.Duration, expected TimeBounds, leaderless time.Duration) (Clock, error) {
+// extrapolate returns the next agreed time if no majority of the clocks agrees.
+func (c Clock) extrapolate(logTime time.Duration, expected TimeBounds, leaderless time.Duration) (Clock, error) {
 	if leaderless < 0 {
 		return c, ErrNoAgreedTime
 	}
@@ -141,7 +144,7 @@
 	return a
 }
 
-// sampleEdge is where the interval of a sample, with its error, begins or ends.
+// sampleEdge is the beginning or the end of the interval that a sample stands for, given its maximum error.
 type sampleEdge struct {
 	at  time.Time
 	end bool
@@ -149,33 +152,33 @@
 
 // intersectSamples returns the smallest interval that is consistent with the largest number of samples, given their
 // errors, at a monotonic time (Marzullo's algorithm). It returns false if that number is less than the quorum.
-func intersectSamples(samples []ClockSample, at time.Duration, quorum int) (TimeBounds, bool) {
-	edges := sampleEdges(samples, at)
-	most, open := 0, 0
-	var common TimeBounds
+func intersectSamples(samples []ClockSample, monotonicNow time.Duration, quorum int) (TimeBounds, bool) {
+	edges := sampleEdges(samples, monotonicNow)
+	overlapping, maxOverlapping := 0, 0
+	var intersection TimeBounds
 	for i, e := range edges {
 		if e.end {
-			open--
+			overlapping--
 			continue
 		}
-		open++
-		if open > most {
-			most = open
-			common = TimeBounds{e.at, edges[i+1].at}
+		overlapping++
+		if overlapping > maxOverlapping {
+			maxOverlapping = overlapping
+			intersection = TimeBounds{e.at, edges[i+1].at}
 		}
 	}
-	return common, most >= quorum
+	return intersection, maxOverlapping >= quorum
 }
 
-// sampleEdges returns the edges of the first sample of each member, in order. Of edges at the same time, beginnings come first.
-func sampleEdges(samples []ClockSample, at time.Duration) (edges []sampleEdge) {
+// sampleEdges returns the edges of the first sample of each member, ordered by time. At the same time, beginnings come before ends.
+func sampleEdges(samples []ClockSample, monotonicNow time.Duration) (edges []sampleEdge) {
 	seen := map[uint64]bool{}
 	for _, s := range samples {
 		if seen[s.Member] {
-			continue // one clock counts once
+			continue // each clock counts once
 		}
 		seen[s.Member] = true
-		wall, maxError := s.Wall.Round(0).Add(at-s.ReadAt), MaxClockError+s.RoundTrip/2
+		wall, maxError := s.Wall.Round(0).Add(monotonicNow-s.ReadAt), MaxClockError+s.RoundTrip/2
 		edges = append(edges, sampleEdge{wall.Add(-maxError), false}, sampleEdge{wall.Add(maxError), true})
 	}
 	slices.SortFunc(edges, func(a, b sampleEdge) int {
--- a/internal/mesh/maintenance/encoding_test.go
+++ b/internal/mesh/maintenance/encoding_test.go
@@ -7,9 +7,9 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// TestStoredForms pins the JSON of each type that is stored in replicated state, sent in operators' calls or set as a
-// configuration item: its names are data, and stay whatever the code calls them.
-func TestStoredForms(t *testing.T) {
+// The JSON of each type that is stored in replicated state, sent in operators' calls or set as a configuration item is
+// fixed, whatever the fields are called in Go.
+func TestJSONEncoding(t *testing.T) {
 	day := time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 	now := TimeBounds{day, day.Add(time.Second)}
 	contract := Contract{
@@ -46,21 +46,21 @@
 			`"Dates":[{"From":"2026-12-24 08:00","To":"2026-12-24 12:00"}],` +
 			`"Barred":[{"From":"2026-03-01","To":"2026-04-15","Why":"vintage"}],` +
 			`"MostOut":{"Service":1,"Zone":2},"LeastReady":0.5,"Approvers":["ana"]}`},
-		{"contract that says nothing", Contract{}, `{"Name":"","ConfigVersion":0,` +
+		{"empty contract", Contract{}, `{"Name":"","ConfigVersion":0,` +
 			`"Covers":{"Services":null,"Zones":null,"Routes":null},"TimeZone":"","Weekly":null,"Dates":null,` +
 			`"Barred":null,"MostOut":{"Service":0,"Zone":0},"LeastReady":0,"Approvers":null}`},
 		{"order", order, `{"id":"o","machines":["l0","l1"],"at":1,"step":"out","seq":7,"length":60000000000,` +
 			`"by":"ana","reason":"smoke","override":true,` +
 			`"names":["a","b"],"asked":true,"approved":"bo","until":"2026-06-01T12:00:00Z","heir":"l2","since":` + bounds + `,"outAt":` + bounds +
 			`,"abort":true,"back":true,"record":[{"at":` + bounds + `,"machine":"b","step":"leading","text":"nothing runs there"}]}`},
-		{"order that says nothing", Order{}, `{"id":"","machines":null,"at":0,"step":"","seq":0,"length":0,"by":"",` +
+		{"empty order", Order{}, `{"id":"","machines":null,"at":0,"step":"","seq":0,"length":0,"by":"",` +
 			`"since":{"Earliest":"0001-01-01T00:00:00Z","Latest":"0001-01-01T00:00:00Z"},` +
 			`"outAt":{"Earliest":"0001-01-01T00:00:00Z","Latest":"0001-01-01T00:00:00Z"},"record":null}`},
-		{"orders", OrderTable{Orders: []Order{}}, `{"Orders":[]}`},
-		{"no orders", OrderTable{}, `{"Orders":null}`},
+		{"empty order table", OrderTable{Orders: []Order{}}, `{"Orders":[]}`},
+		{"zero order table", OrderTable{}, `{"Orders":null}`},
 		{"change", change, `{"id":"o","after":7,"step":"waiting","next":true,"until":"2026-06-01T12:00:00Z",` +
 			`"heir":"l2","abort":true,"back":true,"approve":"bo","text":"back"}`},
-		{"change that says nothing", OrderChange{}, `{"id":"","after":0,"text":""}`},
+		{"empty change", OrderChange{}, `{"id":"","after":0,"text":""}`},
 		{"agreed time", clock, `{"Stamp":60000000000,"Earliest":"2026-06-01T12:00:00Z","Latest":"2026-06-01T12:00:01Z",` +
 			`"Doubt":true,"Steady":` + bounds + `}`},
 		{"verdict", verdict, `{"approved":true,"reasons":[{"contract":"cellar","text":"outside its hours","until":"2026-06-01T12:00:00Z"}],` +
--- a/internal/mesh/maintenance/golden_test.go
+++ b/internal/mesh/maintenance/golden_test.go
@@ -11,15 +11,15 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// TestGoldenDecisions compares decisions on drawn contracts, plans, orders and clocks with testdata/golden.json.
+// Decisions on random contracts, plans, orders and clocks are the same as recorded in testdata/golden.json.
 func TestGoldenDecisions(t *testing.T) {
 	goldenrecord.Assert(t, 100, map[string]goldenrecord.Play{
 		"contracts": goldenContracts, "plans": goldenPlans, "orders": goldenOrders, "clocks": goldenClocks,
 	})
 }
 
-// some draws a subset, in order.
-func some(r *rand.Rand, values ...string) (out []string) {
+// drawSubset draws a subset of values, in their order.
+func drawSubset(r *rand.Rand, values ...string) (out []string) {
 	for _, v := range values {
 		if r.IntN(2) == 0 {
 			out = append(out, v)
@@ -28,26 +28,26 @@
 	return out
 }
 
-// drawContract draws a contract; with mistakes it may be invalid.
+// drawContract draws a contract. With mistakes it may be invalid.
 func drawContract(r *rand.Rand, name string, mistakes bool) Contract {
 	c := Contract{
 		Name: name, ConfigVersion: 1, TimeZone: goldenrecord.Pick(r, "Australia/Hobart", "Europe/Paris", "UTC", "America/New_York"),
-		Approvers:  append(some(r, "ana", "bo"), "cy"),
+		Approvers:  append(drawSubset(r, "ana", "bo"), "cy"),
 		LeastReady: goldenrecord.Pick(r, 0, 0, 0.25, 0.75), MostOut: OutLimits{r.IntN(3), r.IntN(4)},
 	}
 	switch r.IntN(5) {
 	case 0:
-		c.Covers.Services = some(r, "log", "else")
+		c.Covers.Services = drawSubset(r, "log", "else")
 	case 1:
-		c.Covers.Zones, c.Covers.Routes = some(r, "z0", "z1"), some(r, "weigh", "export")
+		c.Covers.Zones, c.Covers.Routes = drawSubset(r, "z0", "z1"), drawSubset(r, "weigh", "export")
 	case 2:
-		c.Covers.Namespaces = some(r, "crews", "pickers")
+		c.Covers.Namespaces = drawSubset(r, "crews", "pickers")
 	}
 	for range 1 + r.IntN(2) {
 		edges := goldenrecord.Pick(r, [2]string{"00:00", "01:45"}, [2]string{"02:30", "03:30"}, [2]string{"09:00", "12:00"},
 			[2]string{"20:00", "24:00"},
 			[2]string{"21:30", "23:59"}, [2]string{"00:00", "24:00"})
-		days := append(some(r, "Tue", "Wed", "Thu", "Fri"), goldenrecord.Pick(r, "Mon", "Sat", "Sun"))
+		days := append(drawSubset(r, "Tue", "Wed", "Thu", "Fri"), goldenrecord.Pick(r, "Mon", "Sat", "Sun"))
 		c.Weekly = append(c.Weekly, WeeklyWindow{days, edges[0], edges[1]})
 	}
 	if r.IntN(3) == 0 {
@@ -59,13 +59,13 @@
 		c.Barred = append(c.Barred, BarredDays{first, goldenrecord.Pick(r, "2026-06-02", "2026-10-05"), "harvest"})
 	}
 	if mistakes {
-		spoilContract(r, &c)
+		addMistake(r, &c)
 	}
 	return c
 }
 
-// spoilContract makes at most one mistake.
-func spoilContract(r *rand.Rand, c *Contract) {
+// addMistake makes at most one change that makes a contract invalid.
+func addMistake(r *rand.Rand, c *Contract) {
 	switch r.IntN(14) {
 	case 0:
 		c.TimeZone = goldenrecord.Pick(r, "Mars", "Local", "")
@@ -92,12 +92,13 @@
 	}
 }
 
+// goldenContracts records whether contracts are valid, and the windows of valid ones.
 func goldenContracts(r *rand.Rand, g *goldenrecord.Record) {
 	for n := range 12 {
 		c := drawContract(r, fmt.Sprint("c", n), true)
 		if f := c.Validate(); f != nil {
 			field, text := f.Field, f.Text
-			if strings.Contains(text, "when the clocks change") { // of a window with two such edges either is told first
+			if strings.Contains(text, "when the clocks change") { // the record doesn't depend on which end of the window is reported
 				field, text = field[:strings.LastIndexByte(field, '.')], "when the clocks change"
 			}
 			g.Count("invalid")
@@ -112,7 +113,7 @@
 	}
 }
 
-// drawTime draws a time near a change of the clocks, or of an ordinary week.
+// drawTime draws a time near a clock change or in an ordinary week.
 func drawTime(r *rand.Rand) time.Time {
 	day := goldenrecord.Pick(r, "2026-03-28", "2026-04-03", "2026-06-01", "2026-10-02", "2026-10-24")
 	t, _ := time.Parse(dayLayout, day)
@@ -127,7 +128,7 @@
 	for n := range 3 + r.IntN(4) {
 		v.Machines = append(v.Machines, Machine{
 			Addr: fmt.Sprint("l", n), Name: fmt.Sprint("line-", n), Zone: fmt.Sprint("z", r.IntN(2)),
-			Service: goldenrecord.Pick(r, "log", "log", "else"), Namespaces: some(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0,
+			Service: goldenrecord.Pick(r, "log", "log", "else"), Namespaces: drawSubset(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0,
 		})
 	}
 	for n := range 3 + r.IntN(3) {
@@ -161,6 +162,7 @@
 	return v
 }
 
+// goldenPlans records the verdicts of plans, successors and sequences.
 func goldenPlans(r *rand.Rand, g *goldenrecord.Record) {
 	for range 10 {
 		v := drawView(r)
@@ -173,27 +175,27 @@
 	}
 }
 
-// verdict records a plan's answer, its texts apart.
-func recordVerdict(g *goldenrecord.Record, of string, d Verdict) {
-	if d.Approved {
-		g.Count(of + " approved")
+// recordVerdict records a verdict, with the texts of its reasons apart from the decisions.
+func recordVerdict(g *goldenrecord.Record, label string, verdict Verdict) {
+	if verdict.Approved {
+		g.Count(label + " approved")
 	} else {
-		g.Count(of + " not approved")
+		g.Count(label + " not approved")
 	}
 	var reasons []Reason
-	for _, x := range d.Reasons {
-		g.Say(x.String())
-		x.Text = ""
-		reasons = append(reasons, x)
+	for _, reason := range verdict.Reasons {
+		g.Say(reason.String())
+		reason.Text = ""
+		reasons = append(reasons, reason)
 	}
-	d.Reasons = reasons
-	g.Decide(goldenrecord.JSON(d))
+	verdict.Reasons = reasons
+	g.Decide(goldenrecord.JSON(verdict))
 }
 
-// goldenOrders plays orders: placed, decided on, changed late, twice or never, by two that decide and by operators.
+// goldenOrders records orders that are placed and then changed by decisions and by operators. Changes arrive late, twice or never.
 func goldenOrders(r *rand.Rand, g *goldenrecord.Record) {
-	var b OrderTable
-	var net []OrderChange
+	var table OrderTable
+	var inFlight []OrderChange
 	v := drawView(r)
 	v.InMaintenance = nil
 	early := drawTime(r)
@@ -202,10 +204,10 @@
 		switch r.IntN(12) {
 		case 0:
 			var err error
-			b, err = b.Place(drawOrder(r), now)
+			table, err = table.Place(drawOrder(r), now)
 			recordOutcome(g, "place", err)
 		case 1:
-			net = append(net, OrderChange{
+			inFlight = append(inFlight, OrderChange{
 				OrderID: fmt.Sprint("o", r.IntN(4)), ExpectedRevision: uint64(r.IntN(2) * r.IntN(6)), Abort: r.IntN(8) == 0,
 				MaintenanceDone: r.IntN(3) == 0,
 				ApprovedBy:      goldenrecord.Pick(r, "", "", "ana", "cy"), Text: "a word",
@@ -217,28 +219,28 @@
 				v = drawView(r)
 			}
 		case 4, 5, 6:
-			for _, o := range b.Open() {
-				c, ok, waits := o.Next(v, drawSight(r), now)
-				g.Say(waits)
+			for _, o := range table.Open() {
+				c, ok, waitsFor := o.Next(v, drawObservation(r), now)
+				g.Say(waitsFor)
 				recordChange(g, c, ok)
 				if ok {
-					net = append(net, c)
+					inFlight = append(inFlight, c)
 				}
 			}
 		default:
-			if len(net) == 0 {
+			if len(inFlight) == 0 {
 				continue
 			}
-			n := r.IntN(len(net))
-			c := net[n]
-			if r.IntN(4) > 0 { // else it comes once more
-				net = append(net[:n], net[n+1:]...)
+			n := r.IntN(len(inFlight))
+			c := inFlight[n]
+			if r.IntN(4) > 0 { // otherwise it is delivered again later
+				inFlight = append(inFlight[:n], inFlight[n+1:]...)
 			}
 			var err error
-			b, err = b.Apply(c, now)
+			table, err = table.Apply(c, now)
 			recordOutcome(g, "apply", err)
 		}
-		recordBook(g, b)
+		recordOrders(g, table)
 	}
 }
 
@@ -247,7 +249,7 @@
 		ID: goldenrecord.Pick(r, "o0", "o1", "o2", "o3", ""), PlacedBy: goldenrecord.Pick(r, "ana", "bo", "cy", ""),
 		Duration: time.Duration(r.IntN(600)) * time.Second,
 		Override: r.IntN(6) == 0, NeedsApproval: r.IntN(4) == 0, Reason: goldenrecord.Pick(r, "", "smoke"),
-		Machines: some(r, "l0", "l1", "l2", "r0"),
+		Machines: drawSubset(r, "l0", "l1", "l2", "r0"),
 	}
 	if r.IntN(3) == 0 {
 		for _, m := range o.Machines {
@@ -257,8 +259,8 @@
 	return o
 }
 
-// drawSight draws what is seen of a machine: mostly of one that does as it is told.
-func drawSight(r *rand.Rand) Observation {
+// drawObservation draws an observation, mostly of a machine that follows each step.
+func drawObservation(r *rand.Rand) Observation {
 	likely := func() bool { return r.IntN(16) > 0 }
 	few := func() int { return max(0, r.IntN(16)-13) }
 	return Observation{
@@ -269,8 +271,8 @@
 	}
 }
 
-// outcome records of which kind an error is.
-func recordOutcome(g *goldenrecord.Record, of string, err error) {
+// recordOutcome records the kind of an error, and its text apart.
+func recordOutcome(g *goldenrecord.Record, label string, err error) {
 	kind := "other"
 	switch {
 	case err == nil:
@@ -280,14 +282,14 @@
 	case errors.Is(err, ErrStaleChange):
 		kind = "stale"
 	}
-	g.Count(of + " " + kind)
-	g.Decide(of, kind)
+	g.Count(label + " " + kind)
+	g.Decide(label, kind)
 	if err != nil {
 		g.Say(err.Error())
 	}
 }
 
-// change records a decision, its text apart.
+// recordChange records a decision, with its text apart.
 func recordChange(g *goldenrecord.Record, c OrderChange, ok bool) {
 	if ok {
 		g.Count("next " + string(c.Step))
@@ -299,9 +301,9 @@
 	g.Decide(ok, goldenrecord.JSON(c))
 }
 
-// book records all orders, the texts of their events apart.
-func recordBook(g *goldenrecord.Record, b OrderTable) {
-	for _, o := range b.Orders {
+// recordOrders records all orders, with the texts of their events apart.
+func recordOrders(g *goldenrecord.Record, table OrderTable) {
+	for _, o := range table.Orders {
 		var events []Event
 		for _, e := range o.Events {
 			g.Say(e.Text)
@@ -313,25 +315,25 @@
 	}
 }
 
-// goldenClocks plays the agreed time: clocks that are right, wrong or silent, leaders that change.
+// goldenClocks records the agreed time of clocks that are correct, wrong or do not answer, with changes of the leader.
 func goldenClocks(r *rand.Rand, g *goldenrecord.Record) {
 	truth := drawTime(r)
 	members := goldenrecord.Pick(r, 3, 5)
 	offsets := make([]time.Duration, members)
 	var c Clock
-	var at, stamp time.Duration
+	var at, logTime time.Duration
 	for range 40 {
 		step := time.Duration(r.IntN(10_000)) * time.Millisecond
 		at, truth = at+step, truth.Add(step)
-		gap := goldenrecord.Pick(r, 0, 0, 0, 3*time.Second, LeaderlessUnknown)
-		if gap != LeaderlessUnknown {
-			stamp += max(0, step-gap)
+		leaderless := goldenrecord.Pick(r, 0, 0, 0, 3*time.Second, LeaderlessUnknown)
+		if leaderless != LeaderlessUnknown {
+			logTime += max(0, step-leaderless)
 		}
 		if r.IntN(4) == 0 {
 			offsets[r.IntN(members)] = goldenrecord.Pick(r, 0, 100*time.Millisecond, -time.Second, 40*time.Minute, -40*time.Minute)
 		}
-		next, err := c.Agree(stamp, drawSamples(r, truth, at, offsets), at, members, gap)
-		g.Decide(goldenrecord.JSON(next), errors.Is(err, ErrNoAgreedTime), goldenrecord.JSON(next.Now(stamp+time.Second)), next.IsKnown())
+		next, err := c.Agree(logTime, drawSamples(r, truth, at, offsets), at, members, leaderless)
+		g.Decide(goldenrecord.JSON(next), errors.Is(err, ErrNoAgreedTime), goldenrecord.JSON(next.Now(logTime+time.Second)), next.IsKnown())
 		switch {
 		case err != nil:
 			g.Count("not agreed")
@@ -350,7 +352,7 @@
 			continue
 		}
 		trip, ago := time.Duration(r.IntN(50))*time.Millisecond, time.Duration(r.IntN(500))*time.Millisecond
-		member := uint64(n / (1 + r.IntN(12)/11)) // now and then another has the same one
+		member := uint64(n / (1 + r.IntN(12)/11)) // sometimes two samples name the same member
 		samples = append(samples, ClockSample{Member: member, Wall: truth.Add(off - ago), ReadAt: at - ago, RoundTrip: trip})
 	}
 	return samples
--- a/internal/mesh/maintenance/helpers_test.go
+++ b/internal/mesh/maintenance/helpers_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"time"
-	_ "time/tzdata" // the same rules of time zones on every machine
+	_ "time/tzdata" // makes the time zone rules the same on every machine
 )
 
+// instant parses a time with its zone offset.
 func instant(text string) time.Time {
 	t, err := time.Parse("2006-01-02 15:04:05 -0700", text)
 	if err != nil {
@@ -14,13 +15,13 @@
 	return t
 }
 
-// exactTime is bounds of no width.
+// exactTime returns time bounds whose ends are equal.
 func exactTime(text string) TimeBounds {
 	t := instant(text)
 	return TimeBounds{t, t}
 }
 
-// hobartContract approves every night from 22:00 to 01:30 by Hobart's clock, but for the days of a vintage.
+// hobartContract approves every night from 22:00 to 01:30 in the time zone of Hobart, except on a range of barred days.
 func hobartContract() Contract {
 	week := []string{"Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"}
 	return Contract{
@@ -30,14 +31,14 @@
 	}
 }
 
-// parisContract approves the same hours by another clock, for the traffic of one route.
+// parisContract approves the same hours in the time zone of Paris, for the traffic of one route.
 func parisContract(route string) Contract {
 	c := hobartContract()
 	c.Name, c.TimeZone, c.Covers = "other", "Europe/Paris", Scope{Routes: []string{route}}
 	return c
 }
 
-// testView is four sidecars of service log, l0 to l3, and five control-plane members, r0 to r4, over two zones.
+// testView returns four machines of service log, l0 to l3, and five control-plane members, r0 to r4, spread over two zones.
 func testView() View {
 	v := View{Parameters: Parameters{
 		DrainTimeout: 2 * time.Second, DownloadAllowance: 10 * time.Second, WarmUp: 3 * time.Second,
--- a/internal/mesh/maintenance/next.go
+++ b/internal/mesh/maintenance/next.go
@@ -5,105 +5,108 @@
 	"slices"
 )
 
-// Observation is what the leader knows about the current machine of an order.
+// Observation is what the leader has learned about the current machine of an order.
 type Observation struct {
-	Reachable         bool // it answers
-	Cordoned          bool // it accepts nothing new because of this order
-	ServerRequests    int  // running at its server
-	CallerRequests    int  // open requests of its own callers
-	CallersMoved      bool // its own callers are sent to other machines
-	KeysHandedOver    bool // its idempotency keys are with the order's successor
-	Senders           int  // sidecars in contact that still send to it, or have not answered
-	Ready             bool // it accepts requests, and the other sidecars know
+	Reachable         bool // the machine answers
+	Cordoned          bool // the machine has confirmed that it accepts no new requests because of this order
+	ServerRequests    int  // requests that its server is running
+	CallerRequests    int  // open requests from its own callers
+	CallersMoved      bool // its own callers use the sidecars of other machines
+	KeysHandedOver    bool // the order's successor has taken over its idempotency keys
+	Senders           int  // connected sidecars that still send to it or have not answered whether they do
+	Ready             bool // it accepts requests, and the other sidecars know that
 	Warm              bool // its server has been ready for Parameters.WarmUp
-	ControlPlane      bool
-	FollowingSidecars int    // of a control-plane member: sidecars that follow it
-	IsLeader          bool   // of a control-plane member
-	SendersText       string // which sidecars still send, for operators
-	WorkText          string // what runs there by kind, and how requests since it was cordoned have ended, for operators
+	ControlPlane      bool // it runs a control-plane member
+	FollowingSidecars int  // sidecars that follow this control-plane member
+	IsLeader          bool // this control-plane member is the leader
+	// SendersText lists the Senders for operators.
+	SendersText string
+	// WorkText tells operators what kinds of requests run there, and how those that ended since it was cordoned have ended.
+	WorkText string
 }
 
-// decision is what an order does next: it changes, or it waits for something.
+// decision is what an order does next: it either changes or waits for something.
 type decision struct {
-	change   OrderChange
-	ok       bool   // there is a change
-	waitsFor string // if there is no change
+	change    OrderChange
+	hasChange bool   // otherwise the order waits
+	waitsFor  string // empty if there is a change
 }
 
-// emptyChange returns a change that is based on the order's revision and changes nothing yet.
+// emptyChange returns a change that is based on the order's current revision and does not change anything yet.
 func (o Order) emptyChange() OrderChange {
 	return OrderChange{OrderID: o.ID, ExpectedRevision: o.Revision}
 }
 
-// goTo decides that the order takes a step. The text becomes that of the order's event.
-func (o Order) goTo(step Step, format string, args ...any) decision {
+// transitionTo returns the decision to move the order to a step. The text becomes the text of the order's event.
+func (o Order) transitionTo(step Step, format string, args ...any) decision {
 	change := o.emptyChange()
 	change.Step = step
 	change.Text = fmt.Sprintf(format, args...)
-	return decision{change: change, ok: true}
+	return decision{change: change, hasChange: true}
 }
 
-// waitFor decides that the order waits.
+// waitFor returns the decision to wait. The text says for what.
 func (o Order) waitFor(format string, args ...any) decision {
 	return decision{change: o.emptyChange(), waitsFor: fmt.Sprintf(format, args...)}
 }
 
 // Next decides the next change of an order, which the leader then proposes. ok is false if the order waits; waitsFor
-// then says for what. The view must not count the order's own machine as in maintenance.
-func (o Order) Next(v View, seen Observation, now TimeBounds) (change OrderChange, ok bool, waitsFor string) {
-	d, turnsBack := o.turnBack(v, now)
-	if !turnsBack {
-		d = o.nextOfStep(v, seen, now)
+// then says for what. View.InMaintenance must not contain the order's own current machine.
+func (o Order) Next(v View, observed Observation, now TimeBounds) (change OrderChange, ok bool, waitsFor string) {
+	d, mustReturn := o.returnEarly(v, now)
+	if !mustReturn {
+		d = o.decideStep(v, observed, now)
 	}
-	return d.change, d.ok, d.waitsFor
+	return d.change, d.hasChange, d.waitsFor
 }
 
-func (o Order) nextOfStep(v View, seen Observation, now TimeBounds) decision {
+// decideStep decides the next change for the order's current step.
+func (o Order) decideStep(v View, observed Observation, now TimeBounds) decision {
 	switch o.Step {
 	case StepWaiting:
-		return o.nextOfWaiting(v, now)
+		return o.decideWaiting(v, now)
 	case StepDraining:
-		return o.nextOfDraining(v, seen)
+		return o.decideDraining(v, observed)
 	case StepMovingCallers:
-		return o.nextOfMovingCallers(seen)
+		return o.decideMovingCallers(observed)
 	case StepInMaintenance:
-		return o.nextOfMaintenance(now)
+		return o.decideInMaintenance(now)
 	case StepReturning:
-		return o.nextOfReturning(seen)
+		return o.decideReturning(observed)
 	case StepDone, StepAborted:
 	}
 	return o.waitFor("it is over")
 }
 
-// turnBack returns a cordoned machine to service if it may no longer be out.
-func (o Order) turnBack(v View, now TimeBounds) (d decision, turnsBack bool) {
+// returnEarly decides to return a cordoned machine to service if the order is being aborted or the machine may no longer be out.
+func (o Order) returnEarly(v View, now TimeBounds) (d decision, mustReturn bool) {
 	if !o.Step.IsCordoned() {
 		return decision{}, false
 	}
 	if o.Aborting {
-		return o.goTo(StepReturning, "aborted, and let in again"), true
+		return o.transitionTo(StepReturning, "aborted, and let in again"), true
 	}
-	returnTime := v.Parameters.WarmUp + v.Parameters.Margin
-	if !o.ReturnBy.IsZero() && now.Latest.Add(returnTime).After(o.ReturnBy) {
-		d = o.goTo(StepReturning, "turned back: its window ends at %s", o.ReturnBy.UTC().Format("15:04:05 MST"))
+	timeToReturn := v.Parameters.WarmUp + v.Parameters.Margin
+	if !o.ReturnBy.IsZero() && now.Latest.Add(timeToReturn).After(o.ReturnBy) {
+		d = o.transitionTo(StepReturning, "turned back: its window ends at %s", o.ReturnBy.UTC().Format("15:04:05 MST"))
 	} else if verdict := v.withoutLoad().Recheck(o.CurrentMachine(), now); !o.Override && !verdict.Approved {
-		d = o.goTo(StepReturning, "turned back: %v", verdict.Reasons[0])
+		d = o.transitionTo(StepReturning, "turned back: %v", verdict.Reasons[0])
 	} else {
 		return decision{}, false
 	}
-	d.change.Abort = true // the operator may place another order
+	d.change.Abort = true // the operator may place a new order for the machine
 	return d, true
 }
 
-// withoutLoad returns the view for a machine that is already out: load varies, so it only counts before a machine is taken out.
+// withoutLoad returns the view without the measured load. Load varies, so it is only checked before a machine is taken out.
 func (v View) withoutLoad() View {
 	v.Load = nil
 	return v
 }
 
-func (o Order) nextOfWaiting(v View, now TimeBounds) decision {
+func (o Order) decideWaiting(v View, now TimeBounds) decision {
 	if o.Aborting {
-		return o.goTo(StepAborted, "aborted")
+		return o.transitionTo(StepAborted, "aborted")
 	}
 	verdict := v.Plan(o.CurrentMachine(), o.Duration, now)
 	approver := o.approver()
@@ -115,75 +118,75 @@
 		return o.waitFor("the contracts name %v as approvers, and not %s", verdict.Approvers, approver)
 	}
 	if verdict.Approved {
-		d := o.goTo(StepDraining, "approved by contracts %v until %s", verdict.Contracts, verdict.ReturnBy.UTC().Format("2006-01-02 15:04 MST"))
+		d := o.transitionTo(StepDraining, "approved by contracts %v until %s", verdict.Contracts, verdict.ReturnBy.UTC().Format("2006-01-02 15:04 MST"))
 		d.change.ReturnBy = verdict.ReturnBy
 		return d
 	}
 	if o.Override {
-		return o.goTo(StepDraining, "OVERRIDDEN (%s): %v", o.Reason, verdict.Reasons)
+		return o.transitionTo(StepDraining, "OVERRIDDEN (%s): %v", o.Reason, verdict.Reasons)
 	}
 	return o.waitFor("%s", verdict.Reasons[0])
 }
 
-func (o Order) nextOfDraining(v View, seen Observation) decision {
+func (o Order) decideDraining(v View, observed Observation) decision {
 	switch {
-	case !seen.Reachable:
+	case !observed.Reachable:
 		return o.waitFor("it does not answer")
-	case !seen.Cordoned:
+	case !observed.Cordoned:
 		return o.waitFor("it has not said that it takes nothing new")
-	case seen.Senders > 0:
-		return o.waitFor("%d sidecars have not confirmed that they send nothing: %s", seen.Senders, seen.SendersText)
-	case seen.ServerRequests > 0:
-		return o.waitFor("%d requests run there: %s", seen.ServerRequests, seen.WorkText)
-	case seen.ControlPlane && seen.IsLeader:
+	case observed.Senders > 0:
+		return o.waitFor("%d sidecars have not confirmed that they send nothing: %s", observed.Senders, observed.SendersText)
+	case observed.ServerRequests > 0:
+		return o.waitFor("%d requests run there: %s", observed.ServerRequests, observed.WorkText)
+	case observed.ControlPlane && observed.IsLeader:
 		return o.waitFor("it leads still")
 	}
-	d := o.goTo(StepMovingCallers, "nobody sends to it, and nothing runs there; %s", seen.WorkText)
+	d := o.transitionTo(StepMovingCallers, "nobody sends to it, and nothing runs there; %s", observed.WorkText)
 	d.change.Successor = v.successor(o.CurrentMachine())
 	return d
 }
 
-func (o Order) nextOfMovingCallers(seen Observation) decision {
+func (o Order) decideMovingCallers(observed Observation) decision {
 	switch {
-	case !seen.Reachable:
+	case !observed.Reachable:
 		return o.waitFor("it does not answer")
-	case !seen.ControlPlane && !seen.CallersMoved:
+	case !observed.ControlPlane && !observed.CallersMoved:
 		return o.waitFor("its own callers are not led away yet")
-	case !seen.ControlPlane && o.Successor != "" && !seen.KeysHandedOver:
+	case !observed.ControlPlane && o.Successor != "" && !observed.KeysHandedOver:
 		return o.waitFor("what it kept of keys is not handed over yet")
-	case seen.CallerRequests > 0:
-		return o.waitFor("%d requests of its own callers are open", seen.CallerRequests)
-	case seen.FollowingSidecars > 0:
-		return o.waitFor("%d sidecars follow it", seen.FollowingSidecars)
+	case observed.CallerRequests > 0:
+		return o.waitFor("%d requests of its own callers are open", observed.CallerRequests)
+	case observed.FollowingSidecars > 0:
+		return o.waitFor("%d sidecars follow it", observed.FollowingSidecars)
 	}
-	return o.goTo(StepInMaintenance, "nothing runs over it: the maintenance may be done")
+	return o.transitionTo(StepInMaintenance, "nothing runs over it: the maintenance may be done")
 }
 
-func (o Order) nextOfMaintenance(now TimeBounds) decision {
-	began := o.MaintenanceSince.Latest
+func (o Order) decideInMaintenance(now TimeBounds) decision {
+	maintenanceStart := o.MaintenanceSince.Latest
 	switch {
 	case o.MaintenanceDone:
-		return o.goTo(StepReturning, "the maintenance is done")
-	case !began.IsZero() && o.Duration > 0 && now.Earliest.Sub(began) >= o.Duration:
-		return o.goTo(StepReturning, "the maintenance has had its time")
+		return o.transitionTo(StepReturning, "the maintenance is done")
+	case !maintenanceStart.IsZero() && o.Duration > 0 && now.Earliest.Sub(maintenanceStart) >= o.Duration:
+		return o.transitionTo(StepReturning, "the maintenance has had its time")
 	}
 	return o.waitFor("the maintenance is being done")
 }
 
-func (o Order) nextOfReturning(seen Observation) decision {
+func (o Order) decideReturning(observed Observation) decision {
 	switch {
-	case !seen.Reachable:
+	case !observed.Reachable:
 		return o.waitFor("it does not answer")
-	case !seen.Ready:
+	case !observed.Ready:
 		return o.waitFor("it is not ready")
-	case !seen.Warm:
+	case !observed.Warm:
 		return o.waitFor("its server gets warm")
 	case o.Aborting:
-		return o.goTo(StepAborted, "back, and aborted")
+		return o.transitionTo(StepAborted, "back, and aborted")
 	case o.Position+1 < len(o.Machines):
-		d := o.goTo(StepWaiting, "back; the next one is %s", o.Machines[o.Position+1])
+		d := o.transitionTo(StepWaiting, "back; the next one is %s", o.Machines[o.Position+1])
 		d.change.NextMachine = true
 		return d
 	}
-	return o.goTo(StepDone, "back")
+	return o.transitionTo(StepDone, "back")
 }
--- a/internal/mesh/maintenance/next_test.go
+++ b/internal/mesh/maintenance/next_test.go
@@ -9,32 +9,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// What makes an order wait, turn back, or go on against the contracts.
-func TestOrderNextDecides(t *testing.T) {
+// Next decides when an order waits, proceeds, returns a machine early, or overrides the contracts.
+func TestOrderNext(t *testing.T) {
 	night, day := exactTime("2026-06-01 23:00:00 +1000"), exactTime("2026-06-01 12:00:00 +1000")
 	cordoned := Observation{Reachable: true, Cordoned: true, CallersMoved: true}
 	warm := Observation{Reachable: true, Ready: true, Warm: true}
-	but := func(change func(seen *Observation)) Observation {
-		seen := cordoned
-		change(&seen)
-		return seen
+	cordonedWith := func(change func(observed *Observation)) Observation {
+		observed := cordoned
+		change(&observed)
+		return observed
 	}
 	for _, x := range []struct {
-		step   Step
-		seen   Observation
-		now    TimeBounds
-		change func(o *Order, v *View)
-		want   string // what it waits for, or "-> step: text"
+		step     Step
+		observed Observation
+		now      TimeBounds
+		change   func(o *Order, v *View)
+		want     string // what it waits for, or "-> step: text"
 	}{
 		{StepWaiting, cordoned, day, nil, "outside its hours"},
 		{StepWaiting, cordoned, day, func(o *Order, v *View) { o.Override, o.Reason = true, "smoke" }, "-> draining: OVERRIDDEN (smoke)"},
 		{StepWaiting, cordoned, night, nil, "-> draining: approved by contracts [cellar] until 2026-06-01 15:30 UTC"},
-		{StepDraining, but(func(seen *Observation) { seen.Cordoned = false }), night, nil, "it has not said that it takes nothing new"},
+		{StepDraining, cordonedWith(func(observed *Observation) { observed.Cordoned = false }), night, nil, "it has not said that it takes nothing new"},
 		{
-			StepDraining, but(func(seen *Observation) { seen.Senders, seen.SendersText = 2, "a, b" }), night, nil,
+			StepDraining, cordonedWith(func(observed *Observation) { observed.Senders, observed.SendersText = 2, "a, b" }), night, nil,
 			"2 sidecars have not confirmed that they send nothing: a, b",
 		},
-		{StepDraining, but(func(seen *Observation) { seen.ServerRequests = 3 }), night, nil, "3 requests run there"},
+		{StepDraining, cordonedWith(func(observed *Observation) { observed.ServerRequests = 3 }), night, nil, "3 requests run there"},
 		{StepDraining, Observation{}, night, nil, "it does not answer"},
 		{StepDraining, cordoned, night, nil, "-> leading"},
 		{StepDraining, cordoned, night, func(o *Order, v *View) { v.Contracts = nil }, "-> returning: turned back: no contract covers it"},
@@ -46,15 +46,15 @@
 			"-> returning: turned back: contract cellar: 1 machines of log are out",
 		},
 		{StepInMaintenance, cordoned, exactTime("2026-06-02 01:29:40 +1000"), nil, "-> returning: turned back: its window ends at 15:30:00 UTC"},
-		{StepMovingCallers, but(func(seen *Observation) { seen.CallerRequests = 1 }), night, nil, "1 requests of its own callers are open"},
+		{StepMovingCallers, cordonedWith(func(observed *Observation) { observed.CallerRequests = 1 }), night, nil, "1 requests of its own callers are open"},
 		{
-			StepMovingCallers, but(func(seen *Observation) { seen.ControlPlane, seen.FollowingSidecars = true, 4 }), night, nil,
+			StepMovingCallers, cordonedWith(func(observed *Observation) { observed.ControlPlane, observed.FollowingSidecars = true, 4 }), night, nil,
 			"4 sidecars follow it",
 		},
-		{StepMovingCallers, but(func(seen *Observation) { seen.CallersMoved = false }), night, nil, "its own callers are not led away yet"},
+		{StepMovingCallers, cordonedWith(func(observed *Observation) { observed.CallersMoved = false }), night, nil, "its own callers are not led away yet"},
 		{StepMovingCallers, cordoned, night, func(o *Order, v *View) { o.Successor = "l2" }, "what it kept of keys is not handed over yet"},
 		{
-			StepMovingCallers, but(func(seen *Observation) { seen.KeysHandedOver = true }), night,
+			StepMovingCallers, cordonedWith(func(observed *Observation) { observed.KeysHandedOver = true }), night,
 			func(o *Order, v *View) { o.Successor = "l2" }, "-> out",
 		},
 		{StepMovingCallers, cordoned, night, nil, "-> out"},
@@ -76,7 +76,7 @@
 			if x.change != nil {
 				x.change(&o, &v)
 			}
-			change, ok, got := o.Next(v, x.seen, x.now)
+			change, ok, got := o.Next(v, x.observed, x.now)
 			if ok {
 				got = fmt.Sprintf("-> %s: %s", change.Step, change.Text)
 			}
--- a/internal/mesh/maintenance/order.go
+++ b/internal/mesh/maintenance/order.go
@@ -7,21 +7,21 @@
 	"github.com/juju/errors"
 )
 
-// Step is how far an order has come with its current machine. The values are stored.
+// Step is how far an order has proceeded with its current machine. The values are stored.
 type Step string
 
 // Steps. The machine is out of service from StepDraining to StepReturning.
 const (
-	StepWaiting       Step = "waiting"   // for the machine to be approved
-	StepDraining      Step = "draining"  // no sidecar sends to it any more, and requests there are finished
-	StepMovingCallers Step = "leading"   // its own callers are moved to other machines
-	StepInMaintenance Step = "out"       // it carries no traffic, so the maintenance may be done
-	StepReturning     Step = "returning" // it is returned to service
+	StepWaiting       Step = "waiting"   // until the machine may be taken out
+	StepDraining      Step = "draining"  // the other sidecars stop sending to it, and its requests finish
+	StepMovingCallers Step = "leading"   // its own callers move to other machines
+	StepInMaintenance Step = "out"       // it carries no traffic; the maintenance may be done
+	StepReturning     Step = "returning" // it goes back into service
 	StepDone          Step = "done"
-	StepAborted       Step = "aborted" // and the machine is back
+	StepAborted       Step = "aborted" // ended early, with the machine back in service
 )
 
-// nextSteps is the steps that may follow a step.
+// nextSteps are the steps that may follow each step.
 var nextSteps = map[Step][]Step{
 	StepWaiting:       {StepDraining, StepAborted, StepDone},
 	StepDraining:      {StepMovingCallers, StepReturning},
@@ -30,15 +30,15 @@
 	StepReturning:     {StepWaiting, StepDone, StepAborted},
 }
 
-// IsFinished reports whether the order has ended.
+// IsFinished reports whether the order has ended at this step.
 func (s Step) IsFinished() bool { return s == StepDone || s == StepAborted }
 
-// IsCordoned reports whether the machine accepts nothing new.
+// IsCordoned reports whether the machine accepts no new requests at this step.
 func (s Step) IsCordoned() bool {
 	return s == StepDraining || s == StepMovingCallers || s == StepInMaintenance
 }
 
-func (s Step) mayBecome(next Step) bool { return slices.Contains(nextSteps[s], next) }
+func (s Step) canTransitionTo(next Step) bool { return slices.Contains(nextSteps[s], next) }
 
 // Event is one entry of an order's history.
 type Event struct {
@@ -48,27 +48,27 @@
 	Text    string     `json:"text"`
 }
 
-// Order is a number of machines that are taken out for maintenance one after the other. It is replicated state. A
-// change names the revision that it is based on, so that only one of two concurrent changes is made.
+// Order takes machines out for maintenance one after the other. It is replicated state. A change names the revision
+// that it is based on, so that only one of two concurrent changes is applied.
 type Order struct {
 	ID               string        `json:"id"`
-	Machines         []string      `json:"machines"` // addresses, in their order
+	Machines         []string      `json:"machines"` // addresses, in the order in which they are taken out
 	Position         int           `json:"at"`       // of the current machine in Machines
 	Step             Step          `json:"step"`
 	Revision         uint64        `json:"seq"`    // rises with each change
 	Duration         time.Duration `json:"length"` // of the maintenance itself, for each machine
 	PlacedBy         string        `json:"by"`
 	Reason           string        `json:"reason,omitempty"`
-	Override         bool          `json:"override,omitempty"` // the contracts are ignored
-	MachineNames     []string      `json:"names,omitempty"`    // of Machines, as operators know them
-	NeedsApproval    bool          `json:"asked,omitempty"`    // by an approver of the contracts other than PlacedBy
+	Override         bool          `json:"override,omitempty"` // proceeds even if the contracts do not approve it
+	MachineNames     []string      `json:"names,omitempty"`    // display names of Machines
+	NeedsApproval    bool          `json:"asked,omitempty"`    // from an approver of the contracts other than PlacedBy
 	ApprovedBy       string        `json:"approved,omitempty"`
-	ReturnBy         time.Time     `json:"until,omitzero"`  // the machine must be back; zero if an override sets no time
+	ReturnBy         time.Time     `json:"until,omitzero"`  // when the machine must be back; zero if the contracts were overridden
 	Successor        string        `json:"heir,omitempty"`  // the sidecar that takes over the machine's idempotency keys, if any
 	StepSince        TimeBounds    `json:"since"`           // when the current step began
 	MaintenanceSince TimeBounds    `json:"outAt"`           // when the latest StepInMaintenance began
-	Aborting         bool          `json:"abort,omitempty"` // it ends once the machine is back
-	MaintenanceDone  bool          `json:"back,omitempty"`  // before Duration has passed
+	Aborting         bool          `json:"abort,omitempty"` // the order ends once the machine is back
+	MaintenanceDone  bool          `json:"back,omitempty"`  // an operator reported it before Duration has passed
 	Events           []Event       `json:"record"`
 }
 
@@ -80,7 +80,7 @@
 	return ""
 }
 
-// CurrentMachineName returns the name of the current machine as operators know it.
+// CurrentMachineName returns the display name of the current machine, or its address if it has none.
 func (o Order) CurrentMachineName() string {
 	if o.Position < len(o.MachineNames) {
 		return o.MachineNames[o.Position]
@@ -97,22 +97,22 @@
 }
 
 const (
-	// maxEvents bounds the events that an order keeps.
+	// maxEvents is how many events an order keeps.
 	maxEvents = 512
-	// firstEvents is how many of the first are kept in any case; the rest are the latest.
-	firstEvents = maxEvents / 4
+	// keptFirstEvents is how many of the oldest events are never dropped.
+	keptFirstEvents = maxEvents / 4
 )
 
-// addEvent adds an event. If there are too many it drops one from the middle, since the first and the latest are the
-// most useful. It never changes a slice that another copy of the order shares.
+// addEvent appends an event. If there are too many, it drops one from the middle, since the first and the latest are
+// the most useful. It clones the slice, which other copies of the order share.
 func (o *Order) addEvent(now TimeBounds, text string) {
 	o.Events = append(slices.Clone(o.Events), Event{now, o.CurrentMachineName(), o.Step, text})
 	if len(o.Events) > maxEvents {
-		o.Events = slices.Delete(o.Events, firstEvents, firstEvents+1)
+		o.Events = slices.Delete(o.Events, keptFirstEvents, keptFirstEvents+1)
 	}
 }
 
-// Bounds of what a new order may hold.
+// Limits of a new order.
 const (
 	maxIDBytes     = 64
 	maxMachines    = 256
@@ -121,7 +121,7 @@
 	maxDuration    = 24 * time.Hour
 )
 
-// validate checks an order that is to be placed. The error is ErrInvalidOrder.
+// validate checks an order that is to be placed. A non-nil error is ErrInvalidOrder.
 func (o Order) validate() error {
 	switch {
 	case o.ID == "" || len(o.ID) > maxIDBytes || len(o.Machines) == 0 || len(o.Machines) > maxMachines:
--- a/internal/mesh/maintenance/ordersearch_test.go
+++ b/internal/mesh/maintenance/ordersearch_test.go
@@ -13,12 +13,12 @@
 	"cranegrade/internal/testkit"
 )
 
-// The times of the search: early in the window, near its end, and past it.
+// searchTimes are the times that the search visits: early in the window, near its end, and after it.
 var searchTimes = []TimeBounds{
 	exactTime("2026-06-01 22:10:00 +1000"), exactTime("2026-06-02 01:29:45 +1000"), exactTime("2026-06-02 02:00:00 +1000"),
 }
 
-// What may be seen of the machine: it serves, it is cordoned and empty, or it does not answer.
+// searchObservations are what the leader may observe: the machine serves, it is cordoned and idle, or it does not answer.
 var searchObservations = []Observation{
 	{Reachable: true, Ready: true, Warm: true, ServerRequests: 1},
 	{Reachable: true, Cordoned: true, CallersMoved: true, KeysHandedOver: true},
@@ -27,73 +27,77 @@
 
 // orderState is one state of the search.
 type orderState struct {
-	table    OrderTable
-	inFlight []OrderChange  // proposed, and not applied
-	seen     [2]Observation // by either of two members that take themselves for the leader
-	time     int            // of searchTimes
-	left     int            // mishaps and calls of operators that may still come
-	history  string
+	table           OrderTable
+	inFlight        []OrderChange  // proposed and not applied yet
+	observed        [2]Observation // by each of two members that both consider themselves the leader
+	timeIndex       int            // in searchTimes
+	remainingFaults int            // how many faults and operators' requests may still occur
+	history         string         // how the state was reached, for failure messages
 }
 
 func (s orderState) order() Order { return s.table.Orders[0] }
 
-// key is the same of states from which the same may follow.
+// key returns the same for states that have equivalent successors.
 func (s orderState) key() string {
 	o := s.order()
-	key := fmt.Sprint(o.Step, o.Position, o.Aborting, o.MaintenanceDone, s.time, s.left, s.seen, o.MaintenanceSince.Earliest.Unix())
+	key := fmt.Sprint(o.Step, o.Position, o.Aborting, o.MaintenanceDone, s.timeIndex, s.remainingFaults, s.observed, o.MaintenanceSince.Earliest.Unix())
 	for _, c := range s.inFlight {
 		key += fmt.Sprint(c.Step, c.ExpectedRevision == o.Revision, c.Abort, c.MaintenanceDone)
 	}
 	return key
 }
 
-// orderSearch visits all states that may follow from a first one.
+// maxStatesWithRace limits the search under the race detector.
+const maxStatesWithRace = 3_000
+
+// orderSearch visits all states that are reachable from the first one, breadth first.
 type orderSearch struct {
 	t       *testing.T
 	view    View
 	visited map[string]bool
 	queue   []orderState
-	applied int
+	applied int // changes
 }
 
 func (q *orderSearch) add(s orderState, note string) {
 	s.history += " " + note
-	if key := s.key(); !q.visited[key] && (!testkit.Race || len(q.visited) < 3_000) {
+	if key := s.key(); !q.visited[key] && (!testkit.Race || len(q.visited) < maxStatesWithRace) {
 		q.visited[key] = true
 		q.queue = append(q.queue, s)
 	}
 }
 
-// visit adds the states that follow from one.
+// visit adds the successors of a state.
 func (q *orderSearch) visit(s orderState) {
-	for member := range s.seen {
+	for member := range s.observed {
 		q.decide(s, member)
 		q.observe(s, member)
 	}
 	for n := range s.inFlight {
 		q.deliver(s, n)
 	}
-	if s.left > 0 {
+	if s.remainingFaults > 0 {
 		next := s
-		next.left--
+		next.remainingFaults--
 		q.apply(next, OrderChange{OrderID: "o", Abort: true, Text: "aborted by bo"}, "abort")
-		q.apply(next, OrderChange{OrderID: "o", MaintenanceDone: true, Text: "done, says bo"}, "back")
+		q.apply(next, OrderChange{OrderID: "o", MaintenanceDone: true, Text: "done, says bo"}, "maintenance done")
 	}
-	if s.time+1 < len(searchTimes) {
+	if s.timeIndex+1 < len(searchTimes) {
 		next := s
-		next.time++
-		q.add(next, "later")
+		next.timeIndex++
+		q.add(next, "advance the time")
 	}
 }
 
+// decide has a member decide and propose the next change.
 func (q *orderSearch) decide(s orderState, member int) {
 	o := s.order()
-	change, ok, waitsFor := o.Next(q.view, s.seen[member], searchTimes[s.time])
+	change, ok, waitsFor := o.Next(q.view, s.observed[member], searchTimes[s.timeIndex])
 	if !ok && waitsFor == "" && !o.Step.IsFinished() {
-		q.t.Fatalf("%s: it waits for nothing", s.history)
+		q.t.Fatalf("%s: the order neither changes nor says what it waits for", s.history)
 	}
-	if o.Step.IsCordoned() && s.time > 0 && (!ok || change.Step != StepReturning) {
-		q.t.Fatalf("%s: held past the window's end", s.history)
+	if o.Step.IsCordoned() && s.timeIndex > 0 && (!ok || change.Step != StepReturning) {
+		q.t.Fatalf("%s: the machine is not returned near or after its window's end", s.history)
 	}
 	if ok && len(s.inFlight) < 2 {
 		next := s
@@ -102,38 +106,40 @@
 	}
 }
 
+// observe has a member observe the machine. Each new observation of the second member counts as a fault.
 func (q *orderSearch) observe(s orderState, member int) {
-	for _, seen := range searchObservations {
-		if seen == s.seen[member] || s.left == 0 {
+	for _, observation := range searchObservations {
+		if observation == s.observed[member] || s.remainingFaults == 0 {
 			continue
 		}
 		next := s
-		next.seen[member] = seen
+		next.observed[member] = observation
 		if member == 1 {
-			next.left--
+			next.remainingFaults--
 		}
-		q.add(next, "see")
+		q.add(next, fmt.Sprint("observe", member))
 	}
 }
 
-// deliver has a change in flight applied, applied while it comes once more later, or lost.
+// deliver has a proposed change applied, applied and delivered again later, or lost.
 func (q *orderSearch) deliver(s orderState, n int) {
 	change := s.inFlight[n]
 	without := s
 	without.inFlight = slices.Delete(slices.Clone(s.inFlight), n, n+1)
-	q.apply(without, change, "take "+string(change.Step))
-	if s.left == 0 {
+	q.apply(without, change, "apply "+string(change.Step))
+	if s.remainingFaults == 0 {
 		return
 	}
-	again := s
-	again.left--
-	q.apply(again, change, "take once more "+string(change.Step))
-	without.left--
-	q.add(without, "lose")
+	duplicated := s
+	duplicated.remainingFaults--
+	q.apply(duplicated, change, "apply and deliver again "+string(change.Step))
+	without.remainingFaults--
+	q.add(without, "lose "+string(change.Step))
 }
 
+// apply applies a change, which may be rejected.
 func (q *orderSearch) apply(s orderState, c OrderChange, note string) {
-	next, err := s.table.Apply(c, searchTimes[s.time])
+	next, err := s.table.Apply(c, searchTimes[s.timeIndex])
 	if err == nil {
 		q.applied++
 		q.checkApplied(s, c, next.Orders[0])
@@ -142,21 +148,21 @@
 	q.add(s, note)
 }
 
-// checkApplied sees that steps follow one another as they must, and that none is made twice.
+// checkApplied checks that a step follows only the steps that it may follow, and that each change is applied once.
 func (q *orderSearch) checkApplied(s orderState, c OrderChange, after Order) {
 	before := s.order()
 	if c.ExpectedRevision != 0 && c.ExpectedRevision != before.Revision {
-		q.t.Fatalf("%s: a change after %d was made at %d", s.history, c.ExpectedRevision, before.Revision)
+		q.t.Fatalf("%s: a change of revision %d was applied to revision %d", s.history, c.ExpectedRevision, before.Revision)
 	}
-	mayBe := map[Step][]Step{
+	predecessors := map[Step][]Step{
 		StepInMaintenance: {StepMovingCallers, StepInMaintenance},
 		StepMovingCallers: {StepDraining, StepMovingCallers},
 	}
-	if allowed, restricted := mayBe[after.Step]; restricted && !slices.Contains(allowed, before.Step) {
-		q.t.Fatalf("%s: %s after %s", s.history, after.Step, before.Step)
+	if allowed, restricted := predecessors[after.Step]; restricted && !slices.Contains(allowed, before.Step) {
+		q.t.Fatalf("%s: step %s follows %s", s.history, after.Step, before.Step)
 	}
 	if after.Revision != before.Revision+1 || len(after.Events) != len(before.Events)+1 {
-		q.t.Fatalf("%s: %d after %d", s.history, after.Revision, before.Revision)
+		q.t.Fatalf("%s: revision %d follows %d, or the change added no event", s.history, after.Revision, before.Revision)
 	}
 }
 
@@ -167,41 +173,41 @@
 	return table
 }
 
-// All orders of what befalls an order: two members that each take themselves for the leader decide and propose, their changes
-// come late, twice or never; an operator aborts or says that the maintenance is done; the machine stops answering and comes
-// back; the window comes to its end. Steps follow one another as they must, none is made twice, and what is cordoned past the
-// window's end is let in again by the next decision.
+// Searches all interleavings of what may happen to an order: two members that both consider themselves the leader propose
+// changes, which arrive late, twice or never; an operator aborts the order or reports that the maintenance is done; the
+// machine stops answering and comes back; the window ends. Each step must follow a step that it may follow, each change must
+// be applied at most once, and the next decision on a machine that is cordoned near or after its window's end must be to return it.
 func TestOrderEveryInterleaving(t *testing.T) {
 	search := orderSearch{t: t, view: testView(), visited: map[string]bool{}}
 	first := searchObservations[0]
-	search.add(orderState{table: placedOrder(t), seen: [2]Observation{first, first}, left: 2}, "")
-	ended := 0
+	search.add(orderState{table: placedOrder(t), observed: [2]Observation{first, first}, remainingFaults: 2}, "")
+	finished := 0
 	for len(search.queue) > 0 {
 		s := search.queue[0]
 		search.queue = search.queue[1:]
 		if s.order().Step.IsFinished() {
-			ended++
+			finished++
 		}
 		search.visit(s)
 	}
-	if ended == 0 || search.applied == 0 {
-		t.Fatal("nothing came to an end")
+	if finished == 0 || search.applied == 0 {
+		t.Fatal("no order finished, or no change was applied")
 	}
 	t.Logf("%d states", len(search.visited))
 }
 
-// Given time and a machine that does as it is told, an order comes to its end.
-func TestOrderComesToItsEnd(t *testing.T) {
+// An order completes if its machines follow each step.
+func TestOrderCompletes(t *testing.T) {
 	table, now := placedOrder(t), searchTimes[0]
 	var steps []string
 	for n := 0; !table.Orders[0].Step.IsFinished(); n++ {
-		assert.Assert(t, n < 100)
+		assert.Assert(t, n < 100, "the order does not complete")
 		o := table.Orders[0]
-		seen := Observation{Reachable: true, Ready: true, Warm: true}
+		observed := Observation{Reachable: true, Ready: true, Warm: true}
 		if o.Step.IsCordoned() {
-			seen = searchObservations[1]
+			observed = searchObservations[1]
 		}
-		if change, ok, _ := o.Next(testView(), seen, now); ok {
+		if change, ok, _ := o.Next(testView(), observed, now); ok {
 			var err error
 			table, err = table.Apply(change, now)
 			assert.NilError(t, err)
@@ -212,8 +218,8 @@
 	assert.Equal(t, strings.Join(steps, " "), "draining leading out returning waiting draining leading out returning done")
 }
 
-// An order placed again under its id is the same one; another one is refused.
-func TestPlaceTwice(t *testing.T) {
+// Placing the same order again changes nothing. A different order with the same ID is rejected.
+func TestPlaceIsIdempotent(t *testing.T) {
 	table := placedOrder(t)
 	_, err := table.Place(Order{ID: "o", Machines: []string{"l2"}, PlacedBy: "ana"}, searchTimes[0])
 	assert.Assert(t, errors.Is(err, ErrInvalidOrder))
--- a/internal/mesh/maintenance/ordertable.go
+++ b/internal/mesh/maintenance/ordertable.go
@@ -7,22 +7,23 @@
 	"github.com/juju/errors"
 )
 
-// Errors of orders and their changes. They are annotated with what was wrong; errors.Is finds them.
+// Errors of orders and their changes. They are annotated with the cause; match them with errors.Is.
 const (
-	// ErrInvalidOrder says that an order or a change of an order is not valid.
+	// ErrInvalidOrder says that an order, or a change of an order, is not valid.
 	ErrInvalidOrder = errors.ConstError("the order can't be")
 
-	// ErrStaleChange says that the order has changed since a change was decided.
+	// ErrStaleChange says that a change is based on a former revision of the order.
 	ErrStaleChange = errors.ConstError("the order has gone on since")
 )
 
-// Bounds of an OrderTable.
+// Limits of an OrderTable.
 const (
-	maxOpenOrders     = 16  // beyond it no order is placed
-	maxFinishedOrders = 256 // beyond it the oldest are dropped
+	maxOpenOrders     = 16  // further orders are rejected
+	maxFinishedOrders = 256 // the oldest are dropped beyond it
 )
 
-// OrderTable is all orders, the latest last. It is replicated state, and immutable: Place and Apply return the next table.
+// OrderTable is all orders, in the order in which they were placed. It is replicated state, and immutable: Place and Apply return the next
+// table.
 type OrderTable struct {
 	Orders []Order `json:"Orders"`
 }
@@ -31,7 +32,7 @@
 	return slices.IndexFunc(t.Orders, func(o Order) bool { return o.ID == id })
 }
 
-// Find returns the order with an ID, if there is one.
+// Find returns the order with the given ID, if there is one.
 func (t OrderTable) Find(id string) (Order, bool) {
 	if i := t.index(id); i >= 0 {
 		return t.Orders[i], true
@@ -49,9 +50,9 @@
 	return open
 }
 
-// Place adds an order. Placing the same order again, as by a retry, changes nothing. On ErrInvalidOrder the table is
-// unchanged. What Place writes into the order is replicated, so it must be the same on every replica and in every
-// version.
+// Place adds an order. Placing the same order again, as a retry does, changes nothing. On ErrInvalidOrder the table is
+// unchanged. Every replica calls Place, so what it writes into the order must be the same in all versions of the
+// program.
 func (t OrderTable) Place(o Order, now TimeBounds) (OrderTable, error) {
 	if err := o.validate(); err != nil {
 		return t, err
@@ -77,7 +78,7 @@
 	return next, nil
 }
 
-// placementText is the text of the first event of an order. Every replica writes it, so it must never change.
+// placementText returns the text of an order's first event. Every replica writes it, so it must never change.
 func placementText(o Order) string {
 	text := "placed by " + o.PlacedBy
 	if o.Override {
@@ -97,18 +98,18 @@
 	}
 }
 
-// OrderChange is a step that Order.Next has decided, or a change that an operator requests.
+// OrderChange is a change that Order.Next has decided or that an operator requests.
 type OrderChange struct {
 	OrderID          string    `json:"id"`
-	ExpectedRevision uint64    `json:"after"` // that the change is based on; 0 for any
+	ExpectedRevision uint64    `json:"after"` // of the order that the change is based on; 0 matches any
 	Step             Step      `json:"step,omitempty"`
-	NextMachine      bool      `json:"next,omitempty"`  // with StepWaiting: go on to the next machine
+	NextMachine      bool      `json:"next,omitempty"`  // with StepWaiting: proceed to the next machine
 	ReturnBy         time.Time `json:"until,omitzero"`  // with StepDraining
 	Successor        string    `json:"heir,omitempty"`  // with StepMovingCallers
-	Abort            bool      `json:"abort,omitempty"` // by an operator, or because a machine has to return early
+	Abort            bool      `json:"abort,omitempty"` // requested by an operator, or because a machine has to return early
 	MaintenanceDone  bool      `json:"back,omitempty"`
-	// ApprovedBy is who approves an order that needs approval. Whether the contracts name them is checked when the request arrives, and
-	// again before a machine is taken out.
+	// ApprovedBy is who approves an order that needs approval. Whether the contracts name them as an approver is checked when the request
+	// arrives, and again before a machine is taken out.
 	ApprovedBy string `json:"approve,omitempty"`
 	Text       string `json:"text"`
 }
@@ -123,16 +124,16 @@
 	if i < 0 {
 		return t, errors.Annotatef(ErrInvalidOrder, "no order %q", c.OrderID)
 	}
-	if err := t.Orders[i].accepts(c); err != nil {
+	if err := t.Orders[i].checkChange(c); err != nil {
 		return t, err
 	}
 	next := OrderTable{slices.Clone(t.Orders)}
-	next.Orders[i] = t.Orders[i].changed(c, now)
+	next.Orders[i] = t.Orders[i].withChange(c, now)
 	return next, nil
 }
 
-// accepts returns why a change can't be applied, or nil if it can. The error is ErrInvalidOrder or ErrStaleChange.
-func (o Order) accepts(c OrderChange) error {
+// checkChange returns why a change can't be applied, as ErrInvalidOrder or ErrStaleChange, or nil if it can.
+func (o Order) checkChange(c OrderChange) error {
 	switch {
 	case c.ExpectedRevision != 0 && c.ExpectedRevision != o.Revision:
 		return ErrStaleChange
@@ -144,14 +145,14 @@
 		return errors.Annotatef(ErrInvalidOrder, "%s does not ask for approval", c.OrderID)
 	case c.ApprovedBy != "" && c.ApprovedBy == o.PlacedBy:
 		return errors.Annotatef(ErrInvalidOrder, "%s placed it, and another has to approve it", c.ApprovedBy)
-	case c.Step != "" && !o.Step.mayBecome(c.Step):
+	case c.Step != "" && !o.Step.canTransitionTo(c.Step):
 		return errors.Annotatef(ErrStaleChange, "%s does not follow %s", c.Step, o.Step)
 	}
 	return nil
 }
 
-// changed returns the order after a change that it accepts.
-func (o Order) changed(c OrderChange, now TimeBounds) Order {
+// withChange returns the order after a change that checkChange has accepted.
+func (o Order) withChange(c OrderChange, now TimeBounds) Order {
 	o.Revision++
 	o.Aborting = o.Aborting || c.Abort
 	o.MaintenanceDone = o.MaintenanceDone || c.MaintenanceDone
@@ -175,7 +176,7 @@
 	}
 	o.addEvent(now, c.Text)
 	if c.Step == StepWaiting && c.NextMachine {
-		o.Position++ // after the event, which is about the machine that has just returned
+		o.Position++ // after adding the event, which concerns the machine that has just returned
 	}
 	return o
 }
--- a/internal/mesh/maintenance/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -10,7 +10,7 @@
 type Reason struct {
 	Contract string    `json:"contract,omitempty"` // empty if the reason does not come from a contract
 	Text     string    `json:"text"`
-	Until    time.Time `json:"until,omitzero"` // when it ends, if that is known
+	Until    time.Time `json:"until,omitzero"` // when it no longer applies, if that is known
 }
 
 // String returns the reason as operators read it.
@@ -30,7 +30,7 @@
 	Approved       bool          `json:"approved"`
 	Reasons        []Reason      `json:"reasons,omitempty"` // why it is not approved
 	Contracts      []string      `json:"contracts"`         // that cover the machine
-	TransitionTime time.Duration `json:"takes"`             // to go out and to come back, at most, without the maintenance itself
+	TransitionTime time.Duration `json:"takes"`             // upper bound for draining and returning, without the maintenance itself
 	ReturnBy       time.Time     `json:"until,omitzero"`    // when the machine must be back
 	NextWindows    []Interval    `json:"next,omitempty"`    // windows that all contracts approve, the current one included
 	Approvers      []string      `json:"approvers"`         // who may approve it: those named by every contract that covers the machine
@@ -41,26 +41,26 @@
 	maxNextWindows = 3
 )
 
-// Plan returns whether a machine may be taken out now for a maintenance of some length, and if not, why. It is
-// approved if every contract that covers the machine approves it. A machine that no contract covers is not approved.
+// Plan returns whether a machine may be taken out now for a maintenance of the given length, and if not, why. Every
+// contract that covers the machine has to approve, and at least one contract has to cover it.
 func (v View) Plan(addr string, length time.Duration, now TimeBounds) Verdict {
 	return v.evaluate(addr, now, func(transition time.Duration) time.Duration { return transition + length })
 }
 
-// Recheck returns whether a machine that is out or being drained may stay out for the time that it needs to come back.
+// Recheck returns whether a machine that is out or being drained may remain so: for at least the time that it needs to come back.
 func (v View) Recheck(addr string, now TimeBounds) Verdict {
 	return v.evaluate(addr, now, func(time.Duration) time.Duration { return v.Parameters.WarmUp })
 }
 
-// evaluate plans for the time that a machine needs from now on, which needs returns for its transition time.
-func (v View) evaluate(addr string, now TimeBounds, needs func(transition time.Duration) time.Duration) (verdict Verdict) {
-	machine, known := v.machine(addr)
-	if !known {
-		verdict.refuse(Reason{Text: addr + " is no machine that is known"})
+// evaluate checks whether a machine may be out from now on. timeOut returns for how long, given the machine's transition time.
+func (v View) evaluate(addr string, now TimeBounds, timeOut func(transition time.Duration) time.Duration) (verdict Verdict) {
+	machine, exists := v.machine(addr)
+	if !exists {
+		verdict.addReason(Reason{Text: addr + " is no machine that is known"})
 		return verdict
 	}
 	verdict.TransitionTime = v.TransitionTime(machine)
-	absence := absence{time: needs(verdict.TransitionTime), margin: v.Parameters.Margin, now: now}
+	planned := absence{duration: timeOut(verdict.TransitionTime), margin: v.Parameters.Margin, now: now}
 	horizon := Interval{now.Earliest, now.Latest.Add(lookAhead)}
 	approved := []Interval{horizon}
 	for _, contract := range v.Contracts {
@@ -70,65 +70,65 @@
 		verdict.addContract(contract)
 		windows, barred := contract.Windows(horizon)
 		approved = intersectIntervals(approved, windows)
-		verdict.checkHours(contract, windows, barred, absence)
+		verdict.checkHours(contract, windows, barred, planned)
 		v.checkCapacity(contract, machine, &verdict)
 	}
-	verdict.checkCommonWindow(approved, absence)
+	verdict.checkCommonWindow(approved, planned)
 	v.checkQuorum(machine, &verdict)
 	if v.isInMaintenance(addr) {
-		verdict.refuse(Reason{Text: "another order has it already"})
+		verdict.addReason(Reason{Text: "another order has it already"})
 	}
 	verdict.Approved = len(verdict.Reasons) == 0
 	return verdict
 }
 
-// absence is how long a machine would be out from now on.
+// absence is a time out of service that begins now.
 type absence struct {
-	time, margin time.Duration
-	now          TimeBounds
+	duration, margin time.Duration
+	now              TimeBounds
 }
 
-// interval returns an interval that contains the absence, whatever the time is between the bounds.
+// interval returns the interval that contains the absence and its margin wherever between its bounds the current time is.
 func (a absence) interval() Interval {
-	return Interval{a.now.Earliest, a.now.Latest.Add(a.time + a.margin)}
+	return Interval{a.now.Earliest, a.now.Latest.Add(a.duration + a.margin)}
 }
 
-func (d *Verdict) refuse(r Reason) { d.Reasons = append(d.Reasons, r) }
+func (verdict *Verdict) addReason(r Reason) { verdict.Reasons = append(verdict.Reasons, r) }
 
-// addContract adds a contract that covers the machine. Only those whom all contracts name may approve.
-func (d *Verdict) addContract(c Contract) {
-	if len(d.Contracts) == 0 {
-		d.Approvers = slices.Clone(c.Approvers)
+// addContract adds a contract that covers the machine. Approvers are those whom all such contracts name.
+func (verdict *Verdict) addContract(c Contract) {
+	if len(verdict.Contracts) == 0 {
+		verdict.Approvers = slices.Clone(c.Approvers)
 	} else {
-		d.Approvers = slices.DeleteFunc(d.Approvers, func(name string) bool { return !slices.Contains(c.Approvers, name) })
+		verdict.Approvers = slices.DeleteFunc(verdict.Approvers, func(name string) bool { return !slices.Contains(c.Approvers, name) })
 	}
-	d.Contracts = append(d.Contracts, c.Name)
+	verdict.Contracts = append(verdict.Contracts, c.Name)
 }
 
 // checkHours checks that an absence is within one window of a contract and not on a barred day.
-func (d *Verdict) checkHours(c Contract, windows, barred []Interval, a absence) {
+func (verdict *Verdict) checkHours(c Contract, windows, barred []Interval, a absence) {
 	if i := slices.IndexFunc(barred, a.interval().overlaps); i >= 0 {
-		d.refuse(Reason{c.Name, fmt.Sprintf("the day is barred (%s)", c.barredReason(barred[i])), barred[i].To})
+		verdict.addReason(Reason{c.Name, fmt.Sprintf("the day is barred (%s)", c.barredReason(barred[i])), barred[i].To})
 		return
 	}
 	if !slices.ContainsFunc(windows, func(w Interval) bool { return w.Contains(a.interval()) }) {
-		d.refuse(outsideHours(c, windows, a))
+		verdict.addReason(outsideHours(c, windows, a))
 	}
 }
 
-// barredReason returns why an interval is barred.
+// barredReason returns why an interval is barred: the reason of the first range of days that overlaps it.
 func (c Contract) barredReason(barred Interval) string {
 	for _, days := range c.Barred {
-		only := c
-		only.Barred = []BarredDays{days}
-		if _, overlapping := only.Windows(barred); len(overlapping) > 0 {
+		withSingleRange := c
+		withSingleRange.Barred = []BarredDays{days}
+		if _, overlapping := withSingleRange.Windows(barred); len(overlapping) > 0 {
 			return days.Why
 		}
 	}
 	return "several"
 }
 
-// outsideHours explains why an absence is not within any of a contract's windows.
+// outsideHours returns why an absence is not within any of a contract's windows.
 func outsideHours(c Contract, windows []Interval, a absence) Reason {
 	needed := a.interval()
 	for _, window := range windows {
@@ -139,82 +139,83 @@
 			return Reason{c.Name, "the window has not opened for certain", window.From}
 		case window.To.After(needed.From):
 			return Reason{Contract: c.Name, Text: fmt.Sprintf("its window ends at %s, and it would take %v and a margin of %v",
-				window.To.UTC().Format("15:04 MST"), a.time, a.margin)}
+				window.To.UTC().Format("15:04 MST"), a.duration, a.margin)}
 		}
 	}
 	return Reason{Contract: c.Name, Text: fmt.Sprintf("outside its hours, and none come in the next %d days", int(lookAhead.Hours()/24))}
 }
 
-// checkCommonWindow checks that there is any contract, and that the absence is within a window that all contracts approve.
-func (d *Verdict) checkCommonWindow(approved []Interval, a absence) {
-	if len(d.Contracts) == 0 {
-		d.refuse(Reason{Text: "no contract covers it, so nobody has approved any hour"})
+// checkCommonWindow checks that a contract covers the machine, and that the absence is within a window that all such contracts approve.
+func (verdict *Verdict) checkCommonWindow(approved []Interval, a absence) {
+	if len(verdict.Contracts) == 0 {
+		verdict.addReason(Reason{Text: "no contract covers it, so nobody has approved any hour"})
 		return
 	}
-	d.NextWindows = approved[:min(len(approved), maxNextWindows)]
+	verdict.NextWindows = approved[:min(len(approved), maxNextWindows)]
 	if i := slices.IndexFunc(approved, func(w Interval) bool { return w.Contains(a.interval()) }); i >= 0 {
-		d.ReturnBy = approved[i].To
-	} else if len(d.Reasons) == 0 {
-		d.refuse(Reason{Text: fmt.Sprintf("the hours of %v have no window together that is long enough", d.Contracts)})
+		verdict.ReturnBy = approved[i].To
+	} else if len(verdict.Reasons) == 0 {
+		verdict.addReason(Reason{Text: fmt.Sprintf("the hours of %v have no window together that is long enough", verdict.Contracts)})
 	}
 }
 
-// capacity is what would remain of a service and a zone without a machine.
+// capacity is what remains of a machine's service and zone without the machine.
 type capacity struct {
-	outOfService, outOfZone int // other machines that are out or not ready
-	slots, readySlots       int // of its service: all, and those ready without the machine
+	outOfService, outOfZone int // other machines of the service, and of the zone, that are out or not ready
+	slots, readySlots       int // of the service: all slots with the machine's, and the ready ones without
 }
 
+// capacityWithout returns the capacity that remains without a machine.
 func (v View) capacityWithout(machine Machine) (c capacity) {
 	for _, m := range v.Machines {
 		if m.ControlPlane {
 			continue
 		}
-		sameService, other := m.Service == machine.Service, m.Addr != machine.Addr
+		sameService, isOther := m.Service == machine.Service, m.Addr != machine.Addr
 		out := v.isInMaintenance(m.Addr) || !m.Ready
-		if other && out && sameService {
+		if isOther && out && sameService {
 			c.outOfService++
 		}
-		if other && out && m.Zone == machine.Zone {
+		if isOther && out && m.Zone == machine.Zone {
 			c.outOfZone++
 		}
 		if sameService {
 			c.slots += m.Slots
 		}
-		if other && !out && sameService {
+		if isOther && !out && sameService {
 			c.readySlots += m.Slots
 		}
 	}
 	return c
 }
 
-// checkCapacity checks how many machines are out, and the capacity that remains.
+// checkCapacity checks how many other machines are out, and that enough capacity remains.
 func (v View) checkCapacity(c Contract, machine Machine, verdict *Verdict) {
 	if machine.ControlPlane {
 		return
 	}
 	refuse := func(format string, args ...any) {
-		verdict.refuse(Reason{Contract: c.Name, Text: fmt.Sprintf(format, args...)})
+		verdict.addReason(Reason{Contract: c.Name, Text: fmt.Sprintf(format, args...)})
 	}
-	left := v.capacityWithout(machine)
-	if limit := max(1, c.MostOut.Service); left.outOfService >= limit {
-		refuse("%d machines of %s are out, and %d may be", left.outOfService, machine.Service, limit)
+	remaining := v.capacityWithout(machine)
+	if limit := max(1, c.MostOut.Service); remaining.outOfService >= limit {
+		refuse("%d machines of %s are out, and %d may be", remaining.outOfService, machine.Service, limit)
 	}
-	if limit := max(1, c.MostOut.Zone); left.outOfZone >= limit {
-		refuse("%d machines of zone %s are out, and %d may be", left.outOfZone, machine.Zone, limit)
+	if limit := max(1, c.MostOut.Zone); remaining.outOfZone >= limit {
+		refuse("%d machines of zone %s are out, and %d may be", remaining.outOfZone, machine.Zone, limit)
 	}
-	if left.slots > 0 && float64(left.readySlots) < c.LeastReady*float64(left.slots) {
-		refuse("%d of %d slots of %s would stay, and %g of them must", left.readySlots, left.slots, machine.Service, c.LeastReady)
+	if remaining.slots > 0 && float64(remaining.readySlots) < c.LeastReady*float64(remaining.slots) {
+		refuse("%d of %d slots of %s would stay, and %g of them must", remaining.readySlots, remaining.slots, machine.Service, c.LeastReady)
 	}
-	if load, known := v.Load[machine.Service]; known && load > float64(left.readySlots) {
-		refuse("%.0f slots of %s are at work, and %d would stay", load, machine.Service, left.readySlots)
+	if load, measured := v.Load[machine.Service]; measured && load > float64(remaining.readySlots) {
+		refuse("%.0f slots of %s are at work, and %d would stay", load, machine.Service, remaining.readySlots)
 	}
-	if machine.Service != "" && machine.Slots > 0 && left.readySlots == 0 {
+	if machine.Service != "" && machine.Slots > 0 && remaining.readySlots == 0 {
 		refuse("no server of %s would stay", machine.Service)
 	}
 }
 
-// checkQuorum checks that without a control-plane member the configured number of further members may be lost.
+// checkQuorum checks that, without a control-plane member, the others still have a majority if Parameters.FaultTolerance of them fail.
 func (v View) checkQuorum(machine Machine, verdict *Verdict) {
 	if !machine.ControlPlane {
 		return
@@ -232,9 +233,9 @@
 	quorum, tolerance := members/2+1, v.Parameters.FaultTolerance
 	switch {
 	case ready < quorum:
-		verdict.refuse(Reason{Text: fmt.Sprintf("%d of %d control-plane members would stay, and a majority is %d", ready, members, quorum)})
+		verdict.addReason(Reason{Text: fmt.Sprintf("%d of %d control-plane members would stay, and a majority is %d", ready, members, quorum)})
 	case ready-tolerance < quorum:
-		verdict.refuse(Reason{Text: fmt.Sprintf("%d of %d control-plane members would stay, a majority is %d, "+
+		verdict.addReason(Reason{Text: fmt.Sprintf("%d of %d control-plane members would stay, a majority is %d, "+
 			"and so the loss of %d could not be borne: add control-plane members first", ready, members, quorum, tolerance)})
 	}
 }
--- a/internal/mesh/maintenance/plan_test.go
+++ b/internal/mesh/maintenance/plan_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Why a machine may not come out now is told with the contract and the hour.
-func TestPlanTellsWhyNot(t *testing.T) {
+// Plan reports why a machine may not be taken out now, with the contract and the time until which that applies.
+func TestPlanReportsReasons(t *testing.T) {
 	night, day := exactTime("2026-06-01 23:00:00 +1000"), exactTime("2026-06-01 20:00:00 +1000")
 	opening := TimeBounds{instant("2026-06-01 21:59:59 +1000"), instant("2026-06-01 22:00:01 +1000")}
 	for _, x := range []struct {
@@ -20,30 +20,30 @@
 		now    TimeBounds
 		length time.Duration
 		change func(v *View)
-		want   string // part of the reasons; "": it is approved
+		want   string // part of the reasons, or "" if it is approved
 	}{
 		{"sidecar", "l0", night, time.Minute, nil, ""},
 		{"control-plane member", "r0", night, time.Minute, nil, ""},
 		{"before the window", "l0", day, time.Minute, nil, "contract cellar: outside its hours, until 2026-06-01 12:00 UTC"},
-		{"too near to its end", "l0", exactTime("2026-06-02 01:29:00 +1000"), time.Minute, nil, "contract cellar: its window ends at 15:30 UTC"},
-		{"longer than it", "l0", night, 3 * time.Hour, nil, "contract cellar: its window ends at 15:30 UTC"},
+		{"too close to the window's end", "l0", exactTime("2026-06-02 01:29:00 +1000"), time.Minute, nil, "contract cellar: its window ends at 15:30 UTC"},
+		{"longer than the window", "l0", night, 3 * time.Hour, nil, "contract cellar: its window ends at 15:30 UTC"},
 		{
 			"barred day", "l0", exactTime("2026-04-01 23:00:00 +1000"), time.Minute, nil,
 			"contract cellar: the day is barred (vintage), until 2026-04-15 14:00 UTC",
 		},
 		{
-			"perhaps not open yet", "l0", opening, time.Minute, nil,
+			"possibly before the window", "l0", opening, time.Minute, nil,
 			"contract cellar: the window has not opened for certain, until 2026-06-01 12:00 UTC",
 		},
 		{
-			"too many of the service out", "l0", night, 0, func(v *View) { v.InMaintenance = []string{"l1"} },
+			"too many machines of the service out", "l0", night, 0, func(v *View) { v.InMaintenance = []string{"l1"} },
 			"contract cellar: 1 machines of log are out, and 1 may be",
 		},
 		{
-			"too many of the zone out", "l0", night, 0, func(v *View) { v.Machines[2].Service, v.InMaintenance = "else", []string{"l2"} },
+			"too many machines of the zone out", "l0", night, 0, func(v *View) { v.Machines[2].Service, v.InMaintenance = "else", []string{"l2"} },
 			"contract cellar: 1 machines of zone z0 are out, and 1 may be",
 		},
-		{"too few slots left", "l0", night, 0, func(v *View) {
+		{"too few slots remain", "l0", night, 0, func(v *View) {
 			v.Machines[1].Ready, v.Contracts[0].MostOut, v.Contracts[0].LeastReady = false, OutLimits{5, 5}, 0.75
 		}, "contract cellar: 12 of 24 slots of log would stay, and 0.75 of them must"},
 		{
@@ -64,10 +64,10 @@
 		},
 		{"contract of another route", "l0", night, 0, func(v *View) { v.Contracts = append(v.Contracts, parisContract("export")) }, ""},
 		{
-			"no member to spare", "r0", night, 0, func(v *View) { v.InMaintenance = []string{"r1"} },
+			"no tolerance for another failed member", "r0", night, 0, func(v *View) { v.InMaintenance = []string{"r1"} },
 			"3 of 5 control-plane members would stay, a majority is 3",
 		},
-		{"out already", "l0", night, 0, func(v *View) { v.InMaintenance = []string{"l0"} }, "another order has it already"},
+		{"already out", "l0", night, 0, func(v *View) { v.InMaintenance = []string{"l0"} }, "another order has it already"},
 		{"unknown machine", "l9", night, 0, nil, "l9 is no machine that is known"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -86,21 +86,22 @@
 	}
 }
 
-func TestSequenceTakesTheLeaderLast(t *testing.T) {
+func TestSequencePutsLeaderLast(t *testing.T) {
 	assert.DeepEqual(t, testView().Sequence([]string{"r1", "l2", "r0", "l1"}, "r0"), []string{"l2", "l1", "r1", "r0"})
 }
 
-func TestPlanTellsTheTransitionTime(t *testing.T) {
+func TestPlanReportsTransitionTime(t *testing.T) {
 	verdict := testView().Plan("l0", 0, exactTime("2026-06-01 23:00:00 +1000"))
 	assert.Equal(t, verdict.TransitionTime, 2*time.Second+15*time.Second+3*time.Second)
 }
 
-func TestSuccessorIsOfTheSameZone(t *testing.T) {
+func TestSuccessorPrefersSameZone(t *testing.T) {
 	assert.Equal(t, testView().successor("l0"), "l2")
 }
 
-// What is approved lies within every contract that covers the machine, at whatever time of those that it may be, with the
-// time to come back and the margin; never on a barred day; never with more out than any contract allows. 100 draws and more.
+// An approved absence, with the transition time and the margin, is within the windows of every contract that covers the
+// machine, wherever between its bounds the current time is. It is never on a barred day, and never exceeds any contract's
+// limit of machines that are out.
 func TestPlanApprovesOnlyWithinEveryContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := testView()
@@ -119,7 +120,7 @@
 		verdict := v.Plan("l0", length, now)
 		if !verdict.Approved {
 			if len(verdict.Reasons) == 0 {
-				t.Fatal("refused without a reason")
+				t.Fatal("not approved, and without a reason")
 			}
 			return
 		}
@@ -133,7 +134,7 @@
 			checkServiceLimit(t, c, v.InMaintenance)
 		}
 		if covered == 0 {
-			t.Fatal("approved by nobody")
+			t.Fatal("approved although no contract covers the machine")
 		}
 	})
 }
@@ -157,7 +158,7 @@
 	return c
 }
 
-// checkWithinWeekly looks at every half minute of what was approved.
+// checkWithinWeekly checks every half minute of an approved interval against the contract's window and barred days.
 func checkWithinWeekly(t *rapid.T, c Contract, approved Interval) {
 	t.Helper()
 	zone, err := time.LoadLocation(c.TimeZone)
@@ -167,11 +168,11 @@
 	window := c.Weekly[0]
 	from, _ := parseTimeOfDay(window.From)
 	to, _ := parseTimeOfDay(window.To)
-	for x := approved.From; !x.After(approved.To); x = x.Add(30 * time.Second) {
-		local := x.In(zone)
+	for instant := approved.From; !instant.After(approved.To); instant = instant.Add(30 * time.Second) {
+		local := instant.In(zone)
 		minute := local.Hour()*60 + local.Minute()
 		if !strings.Contains("Mon Wed Sun", local.Format("Mon")) || minute < from || minute > to || minute == to && local.Second() > 0 {
-			t.Fatalf("approved at %v, %v by %s", x, local, c.Name)
+			t.Fatalf("approved at %v, local time %v, by %s", instant, local, c.Name)
 		}
 		if day := local.Format(dayLayout); len(c.Barred) > 0 && day >= "2026-10-04" && day <= "2026-10-05" {
 			t.Fatalf("approved on a barred day, %v", local)
@@ -179,6 +180,7 @@
 	}
 }
 
+// checkServiceLimit checks that a contract allows one more machine of service log to be out.
 func checkServiceLimit(t *rapid.T, c Contract, inMaintenance []string) {
 	t.Helper()
 	out := 0
@@ -188,6 +190,6 @@
 		}
 	}
 	if out >= max(1, c.MostOut.Service) {
-		t.Fatalf("%d are out and %d may be", out, c.MostOut.Service)
+		t.Fatalf("approved although %d machines are out and the contract allows %d", out, max(1, c.MostOut.Service))
 	}
 }
--- a/internal/mesh/maintenance/validate.go
+++ b/internal/mesh/maintenance/validate.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Validate returns the first fault of a contract, or nil if there is none. Whether a contract is valid does not depend on the current date.
+// Validate returns the first fault of a contract, or nil if there is none. The result does not depend on the current date.
 func (c Contract) Validate() *validation.Fault {
 	if fault := validation.Check(c); fault != nil {
 		return fault
@@ -30,7 +30,7 @@
 	return c.validateBarred(zone)
 }
 
-// faultf returns a fault of a field.
+// faultf returns a fault of a field with a formatted text.
 func faultf(field, format string, args ...any) *validation.Fault {
 	return &validation.Fault{Field: field, Text: fmt.Sprintf(format, args...)}
 }
@@ -62,7 +62,7 @@
 	return validateClockChanges(hours, zone)
 }
 
-// minutes parses both edges of a window, in minutes since midnight.
+// minutes parses both ends of a window, in minutes since midnight. field is the window's path in the contract.
 func (w WeeklyWindow) minutes(field string) (from, to int, fault *validation.Fault) {
 	from, validFrom := parseTimeOfDay(w.From)
 	to, validTo := parseTimeOfDay(w.To)
@@ -80,7 +80,7 @@
 	return from, to, fault
 }
 
-// validateNoOverlap returns a fault if hours overlap. They must be sorted by day and beginning.
+// validateNoOverlap returns a fault if hours overlap. They must be sorted by day and start.
 func validateNoOverlap(hours []weekdayHours) *validation.Fault {
 	for i := 1; i < len(hours); i++ {
 		a, b := hours[i-1], hours[i]
@@ -91,13 +91,13 @@
 	return nil
 }
 
-// Clock changes of these years are considered, whatever the current year, so that a contract that was valid stays valid.
+// Validation considers the clock changes of these years, whatever the current year, so that a valid contract stays valid.
 var (
 	clockChangesFrom  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	clockChangesUntil = time.Date(2037, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// validateClockChanges returns a fault if a weekly window begins or ends in an hour that a clock change removes or repeats.
+// validateClockChanges returns a fault if a weekly window begins or ends in an hour that a clock change skips or repeats.
 func validateClockChanges(hours []weekdayHours, zone *time.Location) *validation.Fault {
 	for _, change := range clockChanges(zone, clockChangesFrom, clockChangesUntil) {
 		day := change.In(zone)
@@ -109,8 +109,8 @@
 				field  string
 				minute int
 			}{{"From", h.from}, {"To", h.to}} {
-				if why := localTimeFault(zone, day.Year(), day.Month(), day.Day(), edge.minute); why != "" {
-					return faultf(fmt.Sprintf("Weekly[%d].%s", h.index, edge.field), "%s on %s, when the clocks change", why, day.Format(dayLayout))
+				if problem := localTimeFault(zone, day.Year(), day.Month(), day.Day(), edge.minute); problem != "" {
+					return faultf(fmt.Sprintf("Weekly[%d].%s", h.index, edge.field), "%s on %s, when the clocks change", problem, day.Format(dayLayout))
 				}
 			}
 		}
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// interval parses both edges of a window.
+// interval parses both ends of a window. field is the window's path in the contract.
 func (w DateWindow) interval(field string, zone *time.Location) (i Interval, fault *validation.Fault) {
 	if i.From, fault = parseMinute(field+".From", w.From, zone); fault != nil {
 		return i, fault
@@ -150,18 +150,18 @@
 	return i, nil
 }
 
-// parseMinute parses a local minute, which must exist and be unique.
+// parseMinute parses a date and local time to the minute. No clock change may skip or repeat it.
 func parseMinute(field, text string, zone *time.Location) (time.Time, *validation.Fault) {
 	t, err := time.ParseInLocation(minuteLayout, text, zone)
 	if err != nil {
 		return t, faultf(field, "is %q; wanted: a minute, as 2026-12-31 22:00", text)
 	}
-	why := localTimeFault(zone, t.Year(), t.Month(), t.Day(), t.Hour()*60+t.Minute())
-	if t.Format(minuteLayout) != text { // time.ParseInLocation moved it out of the hour that was removed
-		why = text[len(dayLayout)+1:] + " does not exist"
+	problem := localTimeFault(zone, t.Year(), t.Month(), t.Day(), t.Hour()*60+t.Minute())
+	if t.Format(minuteLayout) != text { // time.ParseInLocation moved it out of the hour that a clock change skips
+		problem = text[len(dayLayout)+1:] + " does not exist"
 	}
-	if why != "" {
-		return t, faultf(field, "%s %s", text[:len(dayLayout)], why)
+	if problem != "" {
+		return t, faultf(field, "%s %s", text[:len(dayLayout)], problem)
 	}
 	return t, nil
 }
@@ -184,11 +184,11 @@
 	return nil
 }
 
-// clockShifts is by how much the clocks of a zone may change.
+// clockShifts are the amounts by which clocks are assumed to change when looking for a repeated local time.
 var clockShifts = []time.Duration{-2 * time.Hour, -time.Hour, -30 * time.Minute, 30 * time.Minute, time.Hour, 2 * time.Hour}
 
-// localTimeFault returns a text if a local minute does not exist or comes twice, and otherwise "". Minute 24*60 is
-// the first of the next day.
+// localTimeFault returns a text if a clock change skips or repeats a local minute, and otherwise "". Minute 24*60 is
+// the first minute of the next day.
 func localTimeFault(zone *time.Location, year int, month time.Month, day, minute int) string {
 	t := time.Date(year, month, day, 0, minute, 0, 0, zone)
 	want := time.Date(year, month, day, 0, minute, 0, 0, time.UTC)
@@ -207,10 +207,10 @@
 // a day apart, with the change between them, so that one of them is on the day of the change.
 func clockChanges(zone *time.Location, from, to time.Time) (changes []time.Time) {
 	const step = 12 * time.Hour
-	_, last := from.In(zone).Zone()
+	_, lastOffset := from.In(zone).Zone()
 	for t := from; t.Before(to); t = t.Add(step) {
-		if _, offset := t.In(zone).Zone(); offset != last {
-			last = offset
+		if _, offset := t.In(zone).Zone(); offset != lastOffset {
+			lastOffset = offset
 			changes = append(changes, t, t.Add(-step))
 		}
 	}
--- a/internal/mesh/maintenance/validate_test.go
+++ b/internal/mesh/maintenance/validate_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Each mistake is told with its field.
+// Validate reports each fault with the path of its field.
 func TestContractValidateNamesTheField(t *testing.T) {
 	assert.Assert(t, hobartContract().Validate() == nil, "%v", hobartContract().Validate())
 	for want, change := range map[string]func(c *Contract){
@@ -53,8 +53,8 @@
 	}
 }
 
-// Of a window with a faulty edge on either side the first one is told.
-func TestContractValidateTellsFromBeforeTo(t *testing.T) {
+// If a clock change affects both ends of a window, Validate reports From.
+func TestContractValidateReportsFromBeforeTo(t *testing.T) {
 	c := hobartContract()
 	c.Weekly = []WeeklyWindow{{[]string{"Sun"}, "02:00", "02:30"}}
 	fault := c.Validate()
--- a/internal/mesh/maintenance/view.go
+++ b/internal/mesh/maintenance/view.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Machine is a machine that may be taken out. It runs a sidecar and a server, or a control-plane member.
+// Machine is a machine that may be taken out. It runs either a sidecar and a server or a control-plane member.
 type Machine struct {
 	Addr         string // of its sidecar, or of the control-plane member
-	Name         string // as operators know it
+	Name         string // for display
 	Zone         string
 	Service      string   // of its server; empty for a control-plane member
-	Namespaces   []string // that own its service, and those that they are nested in
-	Slots        int      // requests that its server runs at once
-	Ready        bool     // its server receives requests; of a control-plane member, that it follows or leads
+	Namespaces   []string // the one that owns its service, and those that this one is nested in
+	Slots        int      // requests that its server runs concurrently
+	Ready        bool     // its server receives requests, or its control-plane member is a follower or the leader
 	ControlPlane bool     // it runs a control-plane member
 }
 
@@ -26,13 +26,13 @@
 	Download bool
 }
 
-// Parameters is the times and limits of a plan.
+// Parameters are the times and limits that plans use.
 type Parameters struct {
-	DrainTimeout      time.Duration // for the other sidecars to stop sending, once the machine's own knows of the order
-	DownloadAllowance time.Duration // how much longer than its route's time-out a download may take
-	WarmUp            time.Duration // that a server needs when it comes back
-	Margin            time.Duration // to keep free before a window ends
-	FaultTolerance    int           // control-plane members that may be lost at once
+	DrainTimeout      time.Duration // for the other sidecars to stop sending, once the machine's own sidecar knows of the order
+	DownloadAllowance time.Duration // by how much a download may exceed its route's time-out
+	WarmUp            time.Duration // of a server that comes back
+	Margin            time.Duration // reserved before the end of a window
+	FaultTolerance    int           // how many further control-plane members may fail at once
 }
 
 // View is the state of the mesh that a plan is based on.
@@ -41,7 +41,7 @@
 	Routes        []Route
 	Contracts     []Contract
 	InMaintenance []string           // addresses of machines that other orders have taken out or are about to take out
-	Load          map[string]float64 // measured busy slots by service; the load of a missing service is not known
+	Load          map[string]float64 // measured busy slots by service; a service without an entry is not checked
 	Parameters    Parameters
 }
 
@@ -55,8 +55,8 @@
 
 func (v View) isInMaintenance(addr string) bool { return slices.Contains(v.InMaintenance, addr) }
 
-// isCovered reports whether a contract covers a machine, because the machine carries its traffic. All traffic depends
-// on control-plane members, so every contract covers them.
+// isCovered reports whether a contract covers a machine because the machine carries traffic in the contract's scope.
+// All traffic depends on the control plane, so every contract covers its members.
 func (v View) isCovered(c Contract, m Machine) bool {
 	scope := c.Covers
 	switch {
@@ -72,7 +72,7 @@
 	})
 }
 
-// TransitionTime returns how long a machine takes at most to go out and to come back, without the maintenance itself.
+// TransitionTime returns an upper bound for draining a machine and returning it to service, without the maintenance itself.
 func (v View) TransitionTime(m Machine) time.Duration {
 	if m.ControlPlane {
 		return v.Parameters.DrainTimeout
@@ -88,11 +88,11 @@
 	return v.Parameters.DrainTimeout + longest + v.Parameters.WarmUp
 }
 
-// successor returns the sidecar that takes over the idempotency keys of another: the first ready one of its service,
-// preferably in its zone. It returns "" if there is none.
+// successor returns the address of the sidecar that takes over the idempotency keys of another: the first ready one of
+// its service, preferably in its zone. It returns "" if there is none.
 func (v View) successor(addr string) string {
-	leaving, known := v.machine(addr)
-	if !known {
+	leaving, exists := v.machine(addr)
+	if !exists {
 		return ""
 	}
 	best, sameZone := "", false
@@ -108,9 +108,8 @@
 	return best
 }
 
-// Sequence returns machines in the order in which they may be taken out one after the other: services with the most
-// ready slots first, and within a service by zone and address; control-plane members last, and among those the leader
-// last.
+// Sequence sorts machines into the order in which they are taken out one after the other: the services with the most
+// ready slots first, within a service by zone and address, and control-plane members last, with the leader at the end.
 func (v View) Sequence(addrs []string, leader string) []string {
 	readySlots := map[string]int{}
 	machines := map[string]Machine{}
--- a/internal/mesh/maintenance/windows.go
+++ b/internal/mesh/maintenance/windows.go
@@ -22,8 +22,8 @@
 
 func (i Interval) isEmpty() bool { return !i.From.Before(i.To) }
 
-// Windows returns the approved intervals that overlap a span, in order, and the barred ones. Adjacent intervals are
-// joined. The contract must have been validated; with an unknown time zone there are no intervals.
+// Windows returns the approved and the barred intervals that overlap a span, each in order. Adjacent intervals are
+// merged. The contract must be valid; with an unknown time zone there are no intervals.
 func (c Contract) Windows(span Interval) (approved, barred []Interval) {
 	zone, err := time.LoadLocation(c.TimeZone)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return withinSpan(subtractIntervals(approved, barred), span), barred
 }
 
-// weeklyIntervals begins a day before the span, because the local day may differ from that of the span's own zone.
+// weeklyIntervals returns the weekly windows around a span. It begins a day before the span, so that an interval that
+// began on the day before and continues past midnight is returned whole after merging.
 func (c Contract) weeklyIntervals(span Interval, zone *time.Location) (intervals []Interval) {
 	first := span.From.In(zone)
 	for n := -1; ; n++ {
@@ -71,17 +72,18 @@
 	return intervals
 }
 
-// minuteOfDay returns a local time. It is not midnight plus so many minutes, since a day on which the clocks change is shorter or
-// longer than others.
+// minuteOfDay returns the time at which local clocks show the given minute of a day. That differs from midnight plus
+// the minutes on a day on which the clocks change.
 func minuteOfDay(day time.Time, minute int, zone *time.Location) time.Time {
 	return time.Date(day.Year(), day.Month(), day.Day(), 0, minute, 0, 0, zone)
 }
 
+// withinSpan sorts and merges intervals, and returns those that overlap a span.
 func withinSpan(intervals []Interval, span Interval) []Interval {
 	return slices.DeleteFunc(mergeIntervals(intervals), func(i Interval) bool { return !i.To.After(span.From) || !i.From.Before(span.To) })
 }
 
-// mergeIntervals sorts intervals, in place, and merges those that touch or overlap. Empty ones go.
+// mergeIntervals sorts intervals, in place, and merges those that touch or overlap. It drops empty ones.
 func mergeIntervals(intervals []Interval) (merged []Interval) {
 	slices.SortFunc(intervals, func(a, b Interval) int { return a.From.Compare(b.From) })
 	for _, i := range intervals {
@@ -124,9 +126,9 @@
 func intersectIntervals(a, b []Interval) (common []Interval) {
 	for _, i := range a {
 		for _, other := range b {
-			x := Interval{laterOf(i.From, other.From), earlierOf(other.To, i.To)}
-			if !x.isEmpty() {
-				common = append(common, x)
+			overlap := Interval{laterOf(i.From, other.From), earlierOf(other.To, i.To)}
+			if !overlap.isEmpty() {
+				common = append(common, overlap)
 			}
 		}
 	}
