--- a/internal/mesh/policy/change.go
+++ b/internal/mesh/policy/change.go
@@ -7,39 +7,39 @@
 	"github.com/juju/errors"
 )
 
-// Errors of changes. They are annotated with the item and the owners; errors.Is finds them.
+// Errors of changes. They are annotated with the item and its owners; match them with errors.Is.
 const (
-	// ErrInvalidSet says that the items would be inconsistent after the change.
+	// ErrInvalidSet says that the change would make the items inconsistent.
 	ErrInvalidSet = errors.ConstError("the items do not fit together")
 
 	// ErrConflict says that two clauses contradict each other on a request. The error is a *Conflict.
 	ErrConflict = errors.ConstError("two policies conflict")
 
-	// ErrNotOwner says that the author of a change does not own one of its items.
+	// ErrNotOwner says that the author of a change does not own one of the changed items.
 	ErrNotOwner = errors.ConstError("it is not theirs to change")
 
 	// ErrConsentRequired says that a change loosens the policy of a namespace whose owners have not consented.
 	ErrConsentRequired = errors.ConstError("it loosens another's rule without consent")
 )
 
-// Change is which items a call changes, by name, and who made it.
+// Change is the names of the items that a call changes, and who makes the change.
 type Change struct {
 	Namespaces []string
 	Policies   []string
 	Routes     []string
-	Others     []string // services, limits and the like, which the mesh's operator owns
+	Others     []string // services, limits and other items that only the mesh's operator may change
 	Author     string   // empty for the mesh's operator, who may change anything
-	Consents   []string // as namespace:name, the name one of its owners
+	Consents   []string // in the form namespace:owner
 }
 
-// Evaluate returns the effects of a change on merged policies of other owners, or why it is rejected, with one of the
-// errors of this package. What a change does to the author's own namespaces is not an effect.
+// Evaluate returns the effects of a change on the merged policies of other owners, or one of the errors of this package
+// if the change is rejected. Effects that concern only the author's own namespaces are left out.
 func Evaluate(before, after *Set, c Change) ([]Effect, error) {
 	if err := after.validate(); err != nil {
 		return nil, err
 	}
-	own := before.namespacesOwnedBy(c.Author)
-	if err := c.checkOwnership(before, after, own); err != nil {
+	ownNamespaces := before.namespacesOwnedBy(c.Author)
+	if err := c.checkOwnership(before, after, ownNamespaces); err != nil {
 		return nil, err
 	}
 	affected := c.affectedRoutes(before, after)
@@ -49,7 +49,7 @@
 	all := effectsOf(before, after, affected)
 	effects := all[:0]
 	for _, e := range all {
-		e.Owners = slices.DeleteFunc(e.Owners, func(namespace string) bool { return slices.Contains(own, namespace) })
+		e.Owners = slices.DeleteFunc(e.Owners, func(namespace string) bool { return slices.Contains(ownNamespaces, namespace) })
 		if len(e.Owners) == 0 {
 			continue
 		}
@@ -61,7 +61,7 @@
 	return effects, nil
 }
 
-// namespacesOwnedBy returns the namespaces of which an author is an owner.
+// namespacesOwnedBy returns the names of the namespaces that have the author among their owners.
 func (s *Set) namespacesOwnedBy(author string) (names []string) {
 	if author == "" {
 		return []string{MeshNamespace}
@@ -74,43 +74,43 @@
 	return names
 }
 
-// checkOwnership checks that the author may change each item: they must own it both before and after the change. own
-// is the author's namespaces.
-func (c Change) checkOwnership(before, after *Set, own []string) error {
+// checkOwnership checks that the author may change each item: they must own it both before and after the change.
+// ownNamespaces are the author's namespaces.
+func (c Change) checkOwnership(before, after *Set, ownNamespaces []string) error {
 	if c.Author == "" {
 		return nil
 	}
 	if len(c.Namespaces) > 0 {
-		return c.notOwner("namespace "+c.Namespaces[0], MeshNamespace, own)
+		return c.notOwnerError("namespace "+c.Namespaces[0], MeshNamespace, ownNamespaces)
 	}
 	if len(c.Others) > 0 {
-		return c.notOwner(c.Others[0], MeshNamespace, own)
+		return c.notOwnerError(c.Others[0], MeshNamespace, ownNamespaces)
 	}
 	for _, s := range []*Set{before, after} {
 		for _, name := range c.Policies {
-			if p, exists := s.policyByName(name); exists && !slices.Contains(own, p.Namespace) {
-				return c.notOwner("policy "+name, p.Namespace, own)
+			if p, exists := s.policyByName(name); exists && !slices.Contains(ownNamespaces, p.Namespace) {
+				return c.notOwnerError("policy "+name, p.Namespace, ownNamespaces)
 			}
 		}
 		for _, name := range c.Routes {
-			if r, exists := s.routes[name]; exists && !slices.Contains(own, s.OwnerOfRoute(r)) {
-				return c.notOwner("route "+name, s.OwnerOfRoute(r), own)
+			if r, exists := s.routes[name]; exists && !slices.Contains(ownNamespaces, s.OwnerOfRoute(r)) {
+				return c.notOwnerError("route "+name, s.OwnerOfRoute(r), ownNamespaces)
 			}
 		}
 	}
 	return nil
 }
 
-// notOwner returns the error of an item that is another owner's. own is the author's namespaces.
-func (c Change) notOwner(item, owner string, own []string) error {
-	owned := strings.Join(own, ", ")
+// notOwnerError returns the error for an item that the author does not own.
+func (c Change) notOwnerError(item, owner string, ownNamespaces []string) error {
+	owned := strings.Join(ownNamespaces, ", ")
 	if owned == "" {
 		owned = "nothing"
 	}
 	return errors.Annotatef(ErrNotOwner, "%s is of %s, and %s owns %s", item, owner, c.Author, owned)
 }
 
-// checkConsent checks that the owners whose policy an effect loosens have consented.
+// checkConsent checks that an owner of each namespace whose policy an effect loosens has consented.
 func (c Change) checkConsent(after *Set, e Effect) error {
 	if c.Author == "" || !e.Loosens {
 		return nil
@@ -123,15 +123,15 @@
 	return nil
 }
 
-// hasConsent reports whether an owner of a namespace is among those who consent.
+// hasConsent reports whether one of the consents is by an owner of a namespace, for that namespace.
 func (s *Set) hasConsent(consents []string, namespace string) bool {
 	return slices.ContainsFunc(consents, func(consent string) bool {
-		of, name, _ := strings.Cut(consent, ":")
-		return of == namespace && slices.Contains(s.namespaces[namespace].Owners, name)
+		consentNamespace, owner, _ := strings.Cut(consent, ":")
+		return consentNamespace == namespace && slices.Contains(s.namespaces[namespace].Owners, owner)
 	})
 }
 
-// affectedRoutes returns a function that reports whether a change may affect the policy of a route and service.
+// affectedRoutes returns a function that reports whether the change may affect the merged policy of a route and service.
 func (c Change) affectedRoutes(before, after *Set) func(route Route, service string) bool {
 	if len(c.Namespaces) > 0 {
 		return func(Route, string) bool { return true }
@@ -155,7 +155,7 @@
 	switch {
 	case p.On.isEmpty():
 		return s.governs(p.Namespace, s.OwnerOfRoute(route)) || s.governs(p.Namespace, s.OwnerOfService(service))
-	case len(p.On.Callers) > 0: // it applies to every route that those services call
+	case len(p.On.Callers) > 0: // such a policy may apply to any route, since callers may call any
 		return true
 	}
 	return slices.Contains(p.On.Routes, route.Name) || slices.Contains(p.On.Services, service)
--- a/internal/mesh/policy/change_test.go
+++ b/internal/mesh/policy/change_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// basePolicies are agreed on before the changes of these tests.
+// basePolicies returns the policies before the changes of these tests.
 func basePolicies() []Policy {
 	return []Policy{
 		{
@@ -24,7 +24,7 @@
 	}
 }
 
-// withPolicy is the base with one policy set, or dropped if it names no namespace.
+// withPolicy returns basePolicies with one policy added or replaced, or removed if p has no namespace.
 func withPolicy(p Policy) []Policy {
 	policies := slices.DeleteFunc(basePolicies(), func(o Policy) bool { return o.Name == p.Name })
 	if p.Namespace != "" {
@@ -33,14 +33,14 @@
 	return policies
 }
 
-// evaluatePolicy has a change of one policy evaluated.
+// evaluatePolicy evaluates a change of one policy of basePolicies.
 func evaluatePolicy(author string, p Policy, consents ...string) ([]Effect, error) {
 	change := Change{Author: author, Policies: []string{p.Name}, Consents: consents}
 	return Evaluate(twoTeams(basePolicies()...), twoTeams(withPolicy(p)...), change)
 }
 
-// What does not fit together, what is another's, what contradicts another's policy, what loosens it: each is rejected with both
-// owners, both items, the route and a request.
+// Evaluate rejects a change that makes the set inconsistent, changes an item of another owner, or contradicts or loosens another
+// owner's policy. The error names the owners, the items, the route and an example of a request.
 func TestEvaluateRejects(t *testing.T) {
 	dispatch := func(p Policy) Policy { p.Name, p.Namespace = "x", "dispatch"; return p }
 	devicebook := func(p Policy) Policy { p.Name, p.Namespace = "x", "devicebook"; return p }
@@ -53,50 +53,50 @@
 		err          error
 		text         string
 	}{
-		{"of no namespace", "ana", Policy{Name: "x", Namespace: "nobody", Tries: 1}, nil, ErrInvalidSet, `"nobody" is not known`},
+		{"unknown namespace", "ana", Policy{Name: "x", Namespace: "nobody", Tries: 1}, nil, ErrInvalidSet, `"nobody" is not known`},
 		{
-			"on another's service", "ana", dispatch(Policy{On: Selector{Services: []string{"book"}}, Tries: 1}), nil, ErrInvalidSet,
+			"selects another owner's service", "ana", dispatch(Policy{On: Selector{Services: []string{"book"}}, Tries: 1}), nil, ErrInvalidSet,
 			"which is of devicebook and not of dispatch",
 		},
 		{
-			"on another's route", "ana", dispatch(Policy{On: Selector{Routes: []string{"tokens"}}, Tries: 1}), nil, ErrInvalidSet,
+			"selects another owner's route", "ana", dispatch(Policy{On: Selector{Routes: []string{"tokens"}}, Tries: 1}), nil, ErrInvalidSet,
 			"which is of devicebook",
 		},
-		{"of another's namespace", "ana", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "policy x is of devicebook, and ana owns dispatch"},
-		{"by one who owns nothing", "eve", dispatch(Policy{Tries: 1}), nil, ErrNotOwner, "eve owns nothing"},
-		{"by the owner of a nested namespace", "di", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "di owns quota"},
+		{"another owner's namespace", "ana", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "policy x is of devicebook, and ana owns dispatch"},
+		{"author without a namespace", "eve", dispatch(Policy{Tries: 1}), nil, ErrNotOwner, "eve owns nothing"},
+		{"author owns only a nested namespace", "di", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "di owns quota"},
 		{
 			"less time than the route's owner needs", "cy", devicebook(Policy{ConfigVersion: 2, TimeoutS: 0.8}), nil, ErrConflict,
 			"route send to book: less time than it needs: ruling needs of dispatch, version 1 (as route) says NeedsS 1, and " +
 				"ruling x of devicebook, version 2 (as service) says TimeoutS 0.8; for example Push.example/send/, Caller-Service: (any)",
 		},
 		{
-			"a caller denied that must call", "cy", devicebook(Policy{Callers: CallerRules{Deny: []string{"send"}}}), nil, ErrConflict,
+			"denies a required caller", "cy", devicebook(Policy{Callers: CallerRules{Deny: []string{"send"}}}), nil, ErrConflict,
 			"a caller that must be let in is not: ruling needs of dispatch",
 		},
 		{
-			"nobody allowed", "cy", devicebook(Policy{Callers: CallerRules{Allow: []string{"elsewhere"}}}), nil, ErrConflict,
+			"allows no caller together with another policy", "cy", devicebook(Policy{Callers: CallerRules{Allow: []string{"elsewhere"}}}), nil, ErrConflict,
 			"ruling x of devicebook",
 		},
 		{
-			"more time needed than the service gives", "ana",
+			"needs more time than the service allows", "ana",
 			Policy{Name: "needs", ConfigVersion: 2, Namespace: "dispatch", On: Selector{Routes: []string{"send"}}, NeedsS: 2.1},
 			nil, ErrConflict,
 			"less time than it needs",
 		},
 		{
-			"less time by the caller, where the route names it", "ana",
+			"less time for a caller that the route names", "ana",
 			dispatch(Policy{On: Selector{Callers: []string{"send"}}, TimeoutS: 0.5}), nil,
 			ErrConflict, "TimeoutS 0.5; for example Push.example/send/, Caller-Service: send",
 		},
-		{"more callers, without consent", "cy", shelter, nil, ErrConsentRequired, "LOOSENS route send to book, of dispatch"},
+		{"allows more callers without consent", "cy", shelter, nil, ErrConsentRequired, "LOOSENS route send to book, of dispatch"},
 		{
-			"dropped, without consent", "cy",
+			"removed without consent", "cy",
 			Policy{Name: "shelter"},
 			nil, ErrConsentRequired,
 			"dispatch has to consent; for example Push.example/send/",
 		},
-		{"dropped, with consent of no owner", "cy", Policy{Name: "shelter"}, []string{"dispatch:cy"}, ErrConsentRequired, ""},
+		{"removed with the consent of a non-owner", "cy", Policy{Name: "shelter"}, []string{"dispatch:cy"}, ErrConsentRequired, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			effects, err := evaluatePolicy(x.author, x.policy, x.consents...)
@@ -106,21 +106,22 @@
 	}
 }
 
-// What tightens is let through and told to whoever it concerns, those among them who may call no longer.
-func TestEvaluateTellsEffects(t *testing.T) {
+// A change that only tightens is accepted. Its effects are reported to the owners concerned, including those of newly denied
+// callers.
+func TestEvaluateReportsEffects(t *testing.T) {
 	shelter := basePolicies()[0]
 	shelter.ConfigVersion, shelter.TimeoutS = 2, 4
 	for _, x := range []struct {
 		name, author string
 		policy       Policy
 		consents     []string
-		text         string // "": there are no effects
+		text         string // part of the effects, or "" if there are none
 	}{
-		{"on send the route's own 2 s still hold", "cy", shelter, nil, ""},
-		{"dropped, with consent", "cy", Policy{Name: "shelter"}, []string{"dispatch:ana"}, "LOOSENS route send to book, of dispatch"},
-		{"the team's own calls", "cy", Policy{Name: "y", Namespace: "devicebook", On: Selector{Callers: []string{"quota"}}, Tries: 1}, nil, ""},
+		{"longer than the route's own timeout", "cy", shelter, nil, ""},
+		{"removed with consent", "cy", Policy{Name: "shelter"}, []string{"dispatch:ana"}, "LOOSENS route send to book, of dispatch"},
+		{"calls of the author's own service", "cy", Policy{Name: "y", Namespace: "devicebook", On: Selector{Callers: []string{"quota"}}, Tries: 1}, nil, ""},
 		{
-			"dropped by the operator", "",
+			"removed by the operator", "",
 			Policy{Name: "shelter"},
 			nil,
 			"LOOSENS route send to book, of devicebook and dispatch: Callers.Allow quota, send -> -",
@@ -132,13 +133,13 @@
 			"tightens route send to book, of dispatch: TimeoutS 2 -> 1.2, by ruling x of devicebook",
 		},
 		{
-			"a caller denied", "cy",
+			"denies a caller", "cy",
 			Policy{Name: "x", Namespace: "devicebook", Callers: CallerRules{Deny: []string{"quota"}}},
 			nil,
 			"tightens route tokens to book, of quota: Callers.Deny - -> quota",
 		},
 		{
-			"all its own", "cy",
+			"concerns only the author's own namespace", "cy",
 			Policy{Name: "own", ConfigVersion: 2, Namespace: "devicebook", On: Selector{Routes: []string{"tokens"}}, TimeoutS: 9},
 			nil, "",
 		},
@@ -155,8 +156,8 @@
 	}
 }
 
-// Of three lists of allowed callers each two have one in common, and all together none.
-func TestEvaluateRejectsWhatTogetherAllowsNobody(t *testing.T) {
+// Each two of three lists of allowed callers have a caller in common, but all three have none.
+func TestEvaluateRejectsEmptyIntersectionOfAllowedCallers(t *testing.T) {
 	policies := append(basePolicies(),
 		Policy{Name: "x", Namespace: MeshNamespace, Callers: CallerRules{Allow: []string{"a", "send"}}},
 		Policy{
@@ -167,18 +168,18 @@
 	assert.Assert(t, errors.Is(err, ErrConflict), "%v", err)
 }
 
-// Routes are their owners' to change, by their host and prefix; what is the operator's is nobody else's.
-func TestEvaluateOwnershipOfItems(t *testing.T) {
+// A route may be changed by the owners of its host or prefix. Items of the operator may be changed by the operator only.
+func TestEvaluateChecksOwnership(t *testing.T) {
 	before, after := twoTeams(basePolicies()...), twoTeams(basePolicies()...)
 	for _, x := range []struct {
 		name    string
 		change  Change
 		allowed bool
 	}{
-		{"own route", Change{Author: "ana", Routes: []string{"send"}}, true},
-		{"another's route", Change{Author: "ana", Routes: []string{"tokens"}}, false},
-		{"the operator's route", Change{Author: "ana", Routes: []string{"quota"}}, false},
-		{"own namespace", Change{Author: "ana", Namespaces: []string{"dispatch"}}, false},
+		{"route of the author", Change{Author: "ana", Routes: []string{"send"}}, true},
+		{"route of another owner", Change{Author: "ana", Routes: []string{"tokens"}}, false},
+		{"route of the operator", Change{Author: "ana", Routes: []string{"quota"}}, false},
+		{"namespace of the author", Change{Author: "ana", Namespaces: []string{"dispatch"}}, false},
 		{"limits", Change{Author: "ana", Others: []string{"limits"}}, false},
 		{"limits, by the operator", Change{Others: []string{"limits"}}, true},
 	} {
@@ -189,8 +190,8 @@
 	}
 }
 
-// Delegations that go round, and what two namespaces own.
-func TestEvaluateRejectsNamespacesThatDoNotFit(t *testing.T) {
+// Namespaces must not form a cycle, be nested in unknown ones, or own the same service or prefix.
+func TestEvaluateRejectsInconsistentNamespaces(t *testing.T) {
 	for want, namespaces := range map[string][]Namespace{
 		"a within b within a":              {{Name: "a", Within: "b"}, {Name: "b", Within: "a"}},
 		`"none", which is not known`:       {{Name: "a", Within: "none"}},
@@ -207,14 +208,14 @@
 	}
 }
 
-// A namespace goes only together with its policies.
-func TestEvaluateKeepsNamespacesThatHavePolicies(t *testing.T) {
+// A namespace that still has policies can't be removed.
+func TestEvaluateRejectsRemovingNamespacesWithPolicies(t *testing.T) {
 	_, err := Evaluate(twoTeams(basePolicies()...), NewSet(nil, basePolicies(), nil), Change{Namespaces: []string{"dispatch", "devicebook"}})
 	assert.Assert(t, errors.Is(err, ErrInvalidSet), "%v", err)
 }
 
-// A limit of exactly the time that another's policy needs contradicts nothing.
-func TestEvaluateTakesALimitOfTheTimeNeeded(t *testing.T) {
+// A time-out that equals the time that another policy needs is not a conflict.
+func TestEvaluateAcceptsTimeoutEqualToNeededTime(t *testing.T) {
 	_, err := evaluatePolicy("cy", Policy{Name: "x", ConfigVersion: 1, Namespace: "devicebook", TimeoutS: 1})
 	assert.NilError(t, err)
 }
--- a/internal/mesh/policy/clause.go
+++ b/internal/mesh/policy/clause.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Field is a field of a policy. The values are stored and shown to operators.
+// Field is the name of a policy's field. The values are stored and shown to operators.
 type Field string
 
 // Fields.
@@ -24,13 +24,13 @@
 	FieldNeed       Field = "Callers.Need"
 )
 
-// AllFields is all fields in the order in which they are shown.
+// AllFields are all fields, in the order in which they are shown.
 var AllFields = []Field{
 	FieldTries, FieldKeyedAgain, FieldRetryOn, FieldTimeout, FieldNeeds, FieldRetryRatio, FieldPriority,
 	FieldAllow, FieldDeny, FieldNeed,
 }
 
-// mergeKind is how the clauses on a field are merged, that is, which of two is the tighter one.
+// mergeKind is how the clauses on a field are merged, and so which of two clauses is the tighter one.
 type mergeKind uint8
 
 const (
@@ -40,9 +40,10 @@
 	union                         // the values that are in any set
 )
 
-func (k mergeKind) isSet() bool { return k == intersection || k == union }
+// mergesSets reports whether the clauses are sets of values, rather than numbers.
+func (k mergeKind) mergesSets() bool { return k == intersection || k == union }
 
-// mergeKinds is how each field is merged. docs/design/rules.md says why.
+// mergeKinds is how each field is merged. docs/design/rules.md gives the reasons.
 var mergeKinds = map[Field]mergeKind{
 	FieldTries:      minimum,
 	FieldKeyedAgain: minimum,
@@ -56,19 +57,19 @@
 	FieldNeed:       union,
 }
 
-// Role is by which relation a policy of a namespace applies to a request. The values are stored and shown to operators.
+// Role is the relation of a policy's namespace to a request by which the policy applies. The values are stored and shown to operators.
 type Role string
 
 // Roles.
 const (
-	RoleItem         Role = "item"    // the route's own item
-	RoleMesh         Role = "mesh"    // the operator, for the whole mesh
+	RoleItem         Role = "item"    // the configuration item of the route itself
+	RoleMesh         Role = "mesh"    // the mesh's operator, for all requests
 	RoleRouteOwner   Role = "route"   // owner of the route
-	RoleServiceOwner Role = "service" // owner of the service that is called
-	RoleCallerOwner  Role = "caller"  // owner of the service that calls
+	RoleServiceOwner Role = "service" // owner of the called service
+	RoleCallerOwner  Role = "caller"  // owner of the calling service
 )
 
-// Source is where a clause comes from: an item of a namespace in a version.
+// Source is where a clause comes from: a version of an item of a namespace, in one role.
 type Source struct {
 	Namespace string `json:"namespace"`
 	Item      string `json:"item"`
@@ -76,7 +77,7 @@
 	Role      Role   `json:"role"`
 }
 
-// String returns the source as operators read it.
+// String returns the source in the form that is shown to operators.
 func (s Source) String() string {
 	return fmt.Sprintf("%s of %s, version %d (as %s)", s.Item, s.Namespace, s.Version, s.Role)
 }
@@ -94,12 +95,12 @@
 	Source Source   `json:"from"`
 }
 
-// Value returns the value of the clause as operators read it.
+// Value returns the value of the clause in the form that is shown to operators.
 func (c Clause) Value() string {
 	switch {
-	case mergeKinds[c.Field].isSet() && len(c.Values) == 0:
+	case mergeKinds[c.Field].mergesSets() && len(c.Values) == 0:
 		return "none"
-	case mergeKinds[c.Field].isSet():
+	case mergeKinds[c.Field].mergesSets():
 		return strings.Join(c.Values, ", ")
 	case c.Field == FieldKeyedAgain:
 		return fmt.Sprint(c.Number != 0)
@@ -112,7 +113,7 @@
 		slices.Compare(c.Values, o.Values))
 }
 
-// sameOrigin reports whether two clauses are on the same field and from the same source, whatever its version.
+// sameOrigin reports whether two clauses are on the same field and from the same source, regardless of its version.
 func (c Clause) sameOrigin(o Clause) bool {
 	a, b := c.Source, o.Source
 	return c.Field == o.Field && a.Namespace == b.Namespace && a.Item == b.Item && a.Role == b.Role
--- a/internal/mesh/policy/clauses.go
+++ b/internal/mesh/policy/clauses.go
@@ -9,19 +9,19 @@
 	"slices"
 )
 
-// Clauses is a merged policy: all clauses that apply to a request, in order, with one clause per source and field.
+// Clauses is a merged policy: all clauses that apply to a request, sorted, with one clause per source and field.
 type Clauses []Clause
 
-// Merge merges two policies into their union, in which only the highest version of each source counts. So the order,
-// grouping and repetition of merges do not matter. Since the tightest clause of each field is effective, additional
-// clauses only ever tighten a policy.
+// Merge returns the union of two policies, with only the highest version of each source. It is commutative, associative
+// and idempotent. Since the tightest clause of each field is effective, clauses of further sources can only tighten a
+// policy.
 func Merge(a, b Clauses) Clauses {
 	all := append(slices.Clone(a), b...)
 	slices.SortFunc(all, Clause.compare)
 	merged := all[:0]
 	for _, c := range all {
 		if n := len(merged); n > 0 && merged[n-1].sameOrigin(c) {
-			merged[n-1] = c // it sorts after the other, so its version is higher
+			merged[n-1] = c // clauses of the same origin are sorted by version
 			continue
 		}
 		merged = append(merged, c)
@@ -29,9 +29,9 @@
 	return merged
 }
 
-// EffectiveClause is the effective clause on a field, with the clauses that it overrides, the tightest first. On a
-// field whose values are merged as sets all clauses contribute; the clause is then the first in order, with the
-// merged values.
+// EffectiveClause is the effective clause on a field, with the clauses that it overrides, the tightest first. If the
+// field is a set, all clauses contribute: Clause is then the first of them with the merged values, and Overridden the
+// others.
 type EffectiveClause struct {
 	Clause
 	Overridden []Clause `json:"over,omitempty"`
@@ -55,7 +55,7 @@
 	return e, true
 }
 
-// compareTightness puts the tighter clause first.
+// compareTightness orders the tighter clause first.
 func (k mergeKind) compareTightness(a, b Clause) int {
 	switch k {
 	case minimum:
@@ -69,7 +69,7 @@
 	return 0
 }
 
-// mergeValues returns the merged values of clauses.
+// mergeValues returns the merged set of the clauses' values.
 func (k mergeKind) mergeValues(clauses []Clause) []string {
 	values := clauses[0].Values
 	switch k {
@@ -88,7 +88,7 @@
 	return values
 }
 
-// DeniedBy returns the source of the first clause that denies a service to call, if there is one.
+// DeniedBy returns the source of the first clause that does not let a service call, if there is one.
 func (l Clauses) DeniedBy(caller string) (Source, bool) {
 	for _, c := range l {
 		if c.denies(caller) {
@@ -98,17 +98,18 @@
 	return Source{}, false
 }
 
+// denies reports whether the clause lists a caller as denied, or allowed callers without it.
 func (c Clause) denies(caller string) bool {
 	return c.Field == FieldDeny && slices.Contains(c.Values, caller) || c.Field == FieldAllow && !slices.Contains(c.Values, caller)
 }
 
-// fingerprintBytes is how much of a SHA-256 sum a fingerprint keeps.
+// fingerprintBytes is how many bytes of a SHA-256 sum a fingerprint consists of.
 const fingerprintBytes = 8
 
-// Fingerprint identifies a merged policy: two sidecars with the same fingerprint decide alike. It is sent to callers and logged.
+// Fingerprint identifies a merged policy: sidecars with the same fingerprint make the same decisions. It is sent to callers and logged.
 func (l Clauses) Fingerprint() string {
 	var encoded []byte
-	addText := func(s string) { // the length comes first, so that different lists of texts have different encodings
+	addText := func(s string) { // the length prefix makes the encoding of several texts unambiguous
 		encoded = binary.AppendUvarint(encoded, uint64(len(s)))
 		encoded = append(encoded, s...)
 	}
--- a/internal/mesh/policy/clauses_test.go
+++ b/internal/mesh/policy/clauses_test.go
@@ -13,7 +13,7 @@
 	anyName  = rapid.SampledFrom([]string{"a", "b", "c"})
 )
 
-// drawClause draws a clause, its content by its source and version: one version has one content.
+// drawClause draws a clause. Its content is derived from its source and version, since a version never changes its content.
 func drawClause(t *rapid.T) Clause {
 	c := Clause{Field: anyField.Draw(t, "field"), Source: Source{
 		Namespace: anyName.Draw(t, "namespace"), Item: anyName.Draw(t, "item"),
@@ -22,7 +22,7 @@
 	}}
 	source := c.Source
 	content := len(source.Namespace+source.Item) + int(source.Namespace[0]) + 3*int(source.Item[0]) + 5*int(source.Version) + 7*len(c.Field)
-	if !mergeKinds[c.Field].isSet() {
+	if !mergeKinds[c.Field].mergesSets() {
 		c.Number = float64(content % 4)
 		return c
 	}
@@ -41,8 +41,8 @@
 	return clauses
 }
 
-// The merge is an algebra, and it only ever tightens: whatever is merged in, by whoever, nothing that held anybody back holds
-// less, and no caller that was denied is let in.
+// Merge is commutative, associative and idempotent. Merging further sources never loosens a field, lets a denied caller call,
+// or permits more in a decision.
 func TestMergeOnlyTightens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawClauses(t, "a"), drawClauses(t, "b"), drawClauses(t, "c")
@@ -50,21 +50,21 @@
 		assert.DeepEqual(t, Merge(Merge(a, b), c), Merge(a, Merge(b, c)))
 		assert.DeepEqual(t, Merge(a, a), a)
 		assert.Equal(t, Merge(a, b).Fingerprint(), Merge(Merge(b, a), b).Fingerprint())
-		// Of a source that says something else now, its clause before is no part of the merged policy.
+		// A newer version of a source replaces its former clause and may loosen the policy, so common sources are left out.
 		a = slices.DeleteFunc(a, func(c Clause) bool { return slices.ContainsFunc(b, c.sameOrigin) })
-		both := Merge(a, b)
+		merged := Merge(a, b)
 		for _, f := range AllFields {
-			if e, changed := fieldEffect(f, a, both); changed && e.Loosens {
+			if e, changed := fieldEffect(f, a, merged); changed && e.Loosens {
 				t.Fatalf("%v: %v and %v", e, a, b)
 			}
 		}
 		for _, caller := range []string{"a", "b", "c", "d"} {
 			_, before := a.DeniedBy(caller)
-			_, after := both.DeniedBy(caller)
+			_, after := merged.DeniedBy(caller)
 			assert.Assert(t, !before || after)
 		}
 		route := Route{AtMostOnce: rapid.Bool().Draw(t, "once")}
-		before, after := a.Decide(route, "a"), both.Decide(route, "a")
+		before, after := a.Decide(route, "a"), merged.Decide(route, "a")
 		if e, exists := a.Effective(FieldTries); exists && e.Number >= 1 {
 			assert.Assert(t, after.MaxAttempts <= before.MaxAttempts)
 		}
--- a/internal/mesh/policy/conflict.go
+++ b/internal/mesh/policy/conflict.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Conflict is two clauses that contradict each other on a request. It is an error, and ErrConflict by errors.Is.
+// Conflict is two clauses that contradict each other on a request. It is an error that matches ErrConflict with errors.Is.
 type Conflict struct {
 	A       Clause
 	B       Clause
 	Route   string
 	Service string // that the route sends to
-	Caller  string // empty if the clauses contradict each other whoever calls
-	Example string // a request that both clauses apply to
-	Text    string // how they contradict each other
+	Caller  string // empty if the clauses contradict each other for every caller
+	Example string // describes a request that both clauses apply to
+	Text    string // how the clauses contradict each other
 }
 
-// Error names both owners, both items, the route and a request.
+// Error returns a text with the owners and items of both clauses, the route and an example of a request.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("route %s to %s: %s: %s says %s %s, and %s says %s %s; for example %s", c.Route, c.Service, c.Text,
 		c.A.Source, c.A.Field, c.A.Value(), c.B.Source, c.B.Field, c.B.Value(), c.Example)
 }
 
-// Is reports that a Conflict is ErrConflict.
+// Is makes errors.Is match ErrConflict.
 func (c *Conflict) Is(target error) bool { return target == ErrConflict }
 
-// firstConflict returns the first conflict on any of the affected routes and services, or nil if there is none. The
-// clauses of a caller are included only if the clauses of the route name the caller. For other callers it is enough
-// that the tightest clauses are effective.
+// firstConflict returns the first conflict on any of the affected routes and services, or nil if there is none. It
+// checks the clauses of a caller only if the clauses of the route allow or require that caller by name. For other
+// callers the tightest clauses apply, which is no conflict.
 func (s *Set) firstConflict(affected func(Route, string) bool) *Conflict {
 	for _, route := range s.Routes() {
 		for _, service := range route.Services {
@@ -49,7 +49,7 @@
 		return nil
 	}
 	if conflict := clauses.firstConflict(); conflict != nil {
-		return conflict.at(route, service, "")
+		return conflict.addLocation(route, service, "")
 	}
 	for _, caller := range clauses.namedCallers() {
 		if len(s.targeted[RoleCallerOwner][caller]) == 0 && s.OwnerOfService(caller) == MeshNamespace {
@@ -57,13 +57,13 @@
 		}
 		withCaller, _ := s.ClausesFor(route, service, caller)
 		if conflict := withCaller.firstConflict(); conflict != nil {
-			return conflict.at(route, service, caller)
+			return conflict.addLocation(route, service, caller)
 		}
 	}
 	return nil
 }
 
-// namedCallers returns the callers that are required or allowed to call.
+// namedCallers returns the callers that clauses allow or require by name.
 func (l Clauses) namedCallers() (callers []string) {
 	for _, c := range l {
 		if c.Field == FieldAllow || c.Field == FieldNeed {
@@ -73,8 +73,8 @@
 	return sortedUnique(callers)
 }
 
-// at adds where a conflict was found.
-func (c *Conflict) at(route Route, service, caller string) *Conflict {
+// addLocation sets where a conflict was found, and returns it.
+func (c *Conflict) addLocation(route Route, service, caller string) *Conflict {
 	c.Route = route.Name
 	c.Service = service
 	c.Caller = caller
@@ -92,11 +92,11 @@
 	if needed && limited && needs.Number > limit.Number {
 		return &Conflict{A: needs.Clause, B: limit.Clause, Text: "less time than it needs"}
 	}
-	var allowed []string // by all clauses so far together
+	var allowed []string // callers that all FieldAllow clauses so far allow
 	var lastAllow *Clause
 	for i, c := range l {
 		if c.Field == FieldNeed {
-			if conflict := l.deniedNeed(c); conflict != nil {
+			if conflict := l.requiredCallerDenied(c); conflict != nil {
 				return conflict
 			}
 		}
@@ -116,17 +116,17 @@
 	return nil
 }
 
-// deniedNeed returns the conflict of the first caller that a clause requires and another clause denies, or nil if
-// there is none.
-func (l Clauses) deniedNeed(need Clause) *Conflict {
+// requiredCallerDenied returns the conflict on the first caller that the given clause requires and another clause denies,
+// or nil if there is none.
+func (l Clauses) requiredCallerDenied(need Clause) *Conflict {
 	for _, caller := range need.Values {
 		source, denied := l.DeniedBy(caller)
 		if !denied {
 			continue
 		}
 		i := slices.IndexFunc(l, func(c Clause) bool { return c.Source == source && (c.Field == FieldDeny || c.Field == FieldAllow) })
-		wanted := Clause{Field: FieldNeed, Values: []string{caller}, Source: need.Source}
-		return &Conflict{A: wanted, B: l[i], Text: "a caller that must be let in is not"}
+		required := Clause{Field: FieldNeed, Values: []string{caller}, Source: need.Source}
+		return &Conflict{A: required, B: l[i], Text: "a caller that must be let in is not"}
 	}
 	return nil
 }
--- a/internal/mesh/policy/decision.go
+++ b/internal/mesh/policy/decision.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Decision is what follows from a merged policy for the requests of a route and a caller. It is immutable.
+// Decision is the outcome of a merged policy for the requests of a caller on a route. It is immutable.
 type Decision struct {
 	Fingerprint string
 	Clauses     Clauses
-	MaxAttempts int // servers that a request may be sent to, at least 1
+	MaxAttempts int // servers that a request may be sent to; at least 1 if any clause limits them, as that of each route does
 	Timeout     time.Duration
 	Priority    int
 	RetryRatio  float64  // retries per request; math.Inf(1) if the policy does not limit them
-	RetryOn     []string // endings after which there may be a retry
+	RetryOn     []string // outcomes of an attempt after which it may be retried
 	RetryOnAny  bool     // the policy does not restrict RetryOn
-	DeniedBy    *Source  // of the clause by which the caller may not call at all; nil if it may
+	DeniedBy    *Source  // of the clause that denies the caller; nil if the caller may call
 }
 
 // Decide returns the decision for a route and a caller.
@@ -52,7 +52,7 @@
 	return d
 }
 
-// MayRetry reports whether an attempt with an ending, as Policy.RetryOn names it, may be retried.
-func (d *Decision) MayRetry(ending string) bool {
-	return d.RetryOnAny || slices.Contains(d.RetryOn, ending)
+// MayRetry reports whether an attempt may be retried after an outcome, which is one of the values of Policy.RetryOn.
+func (d *Decision) MayRetry(outcome string) bool {
+	return d.RetryOnAny || slices.Contains(d.RetryOn, outcome)
 }
--- a/internal/mesh/policy/effect.go
+++ b/internal/mesh/policy/effect.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Effect is how a change alters the effective value of a field of a merged policy. It is replicated state, as a notice to the owners.
+// Effect is how a change alters the effective value of a field of a merged policy. It is replicated state, as a notice to the affected
+// owners.
 type Effect struct {
 	Route   string   `json:"route"`
 	Service string   `json:"service"`
@@ -14,14 +15,14 @@
 	Before  string   `json:"was"` // noValue if there was no clause
 	After   string   `json:"is"`
 	Loosens bool     `json:"loosens"`
-	Source  Source   `json:"from"` // of the effective clause, or of the former one if there is none now
+	Source  Source   `json:"from"` // of the effective clause, or of the former one if the change leaves none
 	Owners  []string `json:"owners"`
 }
 
 // noValue is shown for a field without any clause.
 const noValue = "-"
 
-// String returns the effect in one line, as operators read it.
+// String returns the effect as one line for operators.
 func (e Effect) String() string {
 	verb := "tightens"
 	if e.Loosens {
@@ -31,7 +32,7 @@
 		e.Field, e.Before, e.After, e.Source)
 }
 
-// effectsOf returns the effects on the affected routes and services that are in both sets.
+// effectsOf returns the effects of a change on those affected routes and services that exist before and after it.
 func effectsOf(before, after *Set, affected func(Route, string) bool) (effects []Effect) {
 	for _, route := range after.Routes() {
 		old, existed := before.routes[route.Name]
@@ -57,7 +58,7 @@
 	return effects
 }
 
-// affectedOwners returns the owners of a route, of its service, and of the callers that are newly denied.
+// affectedOwners returns the owners of a route, of the service, and of the callers that the change newly denies.
 func (s *Set) affectedOwners(route Route, service string, f Field, before, after Clauses) []string {
 	owners := []string{s.OwnerOfRoute(route), s.OwnerOfService(service)}
 	if f == FieldAllow || f == FieldDeny {
@@ -78,32 +79,32 @@
 
 // fieldEffect returns the effect on a field, if its effective value has changed.
 func fieldEffect(f Field, before, after Clauses) (e Effect, changed bool) {
-	was, existed := before.Effective(f)
-	is, exists := after.Effective(f)
+	former, existed := before.Effective(f)
+	current, exists := after.Effective(f)
 	e = Effect{Field: f, Before: noValue, After: noValue}
 	if existed {
-		e.Before = was.Value()
-		e.Source = was.Source
+		e.Before = former.Value()
+		e.Source = former.Source
 	}
 	if exists {
-		e.After = is.Value()
-		e.Source = is.Source
+		e.After = current.Value()
+		e.Source = current.Source
 	}
 	if e.Before == e.After {
 		return e, false
 	}
 	switch {
-	case f == FieldNeeds || f == FieldNeed: // a requirement limits nobody, so a change of it loosens nothing
+	case f == FieldNeeds || f == FieldNeed: // a requirement does not limit requests, so changing it loosens nothing
 	case !existed:
 	case !exists:
 		e.Loosens = true
 	default:
-		e.Loosens = mergeKinds[f].isLooser(is.Clause, was.Clause)
+		e.Loosens = mergeKinds[f].isLooser(current.Clause, former.Clause)
 	}
 	return e, true
 }
 
-// isLooser reports whether a clause allows something that another does not.
+// isLooser reports whether a clause permits something that another one does not.
 func (k mergeKind) isLooser(c, than Clause) bool {
 	switch k {
 	case minimum:
@@ -111,13 +112,13 @@
 	case maximum:
 		return c.Number < than.Number
 	case intersection:
-		return hasOthers(c.Values, than.Values)
+		return hasValuesOutside(c.Values, than.Values)
 	case union:
 	}
-	return hasOthers(than.Values, c.Values)
+	return hasValuesOutside(than.Values, c.Values)
 }
 
-// hasOthers reports whether any of some values is not among others.
-func hasOthers(values, among []string) bool {
-	return slices.ContainsFunc(values, func(v string) bool { return !slices.Contains(among, v) })
+// hasValuesOutside reports whether any of the values is not in a set.
+func hasValuesOutside(values, set []string) bool {
+	return slices.ContainsFunc(values, func(v string) bool { return !slices.Contains(set, v) })
 }
--- a/internal/mesh/policy/encoding_test.go
+++ b/internal/mesh/policy/encoding_test.go
@@ -6,9 +6,9 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// TestStoredForms pins the JSON of each type that is stored in replicated state, sent in operators' calls or set as a
-// configuration item: its names are data, and stay whatever the code calls them.
-func TestStoredForms(t *testing.T) {
+// The JSON of each type that is stored in replicated state, sent in operators' calls or set as a configuration item is
+// fixed, whatever the fields are called in Go.
+func TestJSONEncoding(t *testing.T) {
 	again, ratio, priority, endings := true, 0.5, 2, []string{"refused"}
 	namespace := Namespace{
 		Name: "quota", ConfigVersion: 2, Owners: []string{"di"}, Within: "devicebook", Services: []string{"quota"}, Hosts: []string{"h"},
@@ -38,11 +38,11 @@
 	}{
 		{"namespace", namespace, `{"Name":"quota","ConfigVersion":2,"Owners":["di"],"Within":"devicebook","Services":["quota"],"Hosts":["h"],` +
 			`"Prefixes":[{"Host":"push.example","PathPrefix":"/tokens/"}]}`},
-		{"namespace that says nothing", Namespace{}, `{"Name":"","ConfigVersion":0,"Owners":null}`},
+		{"empty namespace", Namespace{}, `{"Name":"","ConfigVersion":0,"Owners":null}`},
 		{"policy", policy, `{"Name":"calm","ConfigVersion":4,"Namespace":"quota",` +
 			`"On":{"Routes":["r"],"Services":["s"],"Callers":["c"]},"Tries":2,"KeyedAgain":true,` +
 			`"RetryOn":["refused"],"TimeoutS":1.5,"NeedsS":0.5,"RetryRatio":0.5,"Priority":2,"Callers":{"Allow":["a"],"Deny":["d"],"Need":["n"]}}`},
-		{"policy that says nothing", Policy{}, `{"Name":"","ConfigVersion":0,"Namespace":"","On":{}}`},
+		{"empty policy", Policy{}, `{"Name":"","ConfigVersion":0,"Namespace":"","On":{}}`},
 		{"effective clause", effective, effectiveText},
 		{
 			"effect",
--- a/internal/mesh/policy/explain.go
+++ b/internal/mesh/policy/explain.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Explanation is a merged policy field by field, for operators.
+// Explanation is a merged policy with the effective clause of each field. It is sent to operators as JSON.
 type Explanation struct {
 	Route        string            `json:"route"`
 	Host         string            `json:"host"`
@@ -14,15 +14,15 @@
 	Owner        string            `json:"owner"` // of the route
 	Service      string            `json:"service"`
 	ServiceOwner string            `json:"serviceOwner"`
-	Caller       string            `json:"caller,omitempty"` // empty for any
+	Caller       string            `json:"caller,omitempty"` // empty for any caller
 	CallerOwner  string            `json:"callerOwner,omitempty"`
 	Fingerprint  string            `json:"print"`
 	DeniedBy     *Source           `json:"denied,omitempty"`
 	Fields       []EffectiveClause `json:"fields"`
 }
 
-// Explain explains the merged policy for requests of a route to a service. caller is the calling service, or
-// empty for any.
+// Explain explains the merged policy for requests on a route to a service. caller is the calling service, or empty for
+// any caller.
 func (s *Set) Explain(route Route, service, caller string) Explanation {
 	clauses, _ := s.ClausesFor(route, service, caller)
 	x := Explanation{
@@ -49,7 +49,7 @@
 	return x
 }
 
-// String returns the explanation in lines, as operators read it.
+// String returns the explanation as lines of text for operators.
 func (x Explanation) String() string {
 	w := &strings.Builder{}
 	fmt.Fprintf(w, "route %s (%s%s) of %s, to service %s of %s", x.Route, x.Host, x.Prefix, x.Owner, x.Service, x.ServiceOwner)
@@ -69,7 +69,7 @@
 	return w.String()
 }
 
-// WriteText writes the explanation in the form of String. As with fmt.Print, errors of the writer are ignored.
+// WriteText writes the result of String. It ignores errors of the writer.
 func (x Explanation) WriteText(w io.Writer) {
 	_, _ = io.WriteString(w, x.String())
 }
--- a/internal/mesh/policy/golden_test.go
+++ b/internal/mesh/policy/golden_test.go
@@ -12,16 +12,15 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// TestGoldenDecisions compares decisions on drawn namespaces, policies, routes, changes and two-step activations with
-// testdata/golden.json.
+// Decisions on random namespaces, policies, routes, changes and rollouts are the same as recorded in testdata/golden.json.
 func TestGoldenDecisions(t *testing.T) {
 	goldenrecord.Assert(t, 200, map[string]goldenrecord.Play{
 		"checks": goldenChecks, "merged": goldenMerged, "changes": goldenChanges, "steps": goldenSteps,
 	})
 }
 
-// some draws a subset, in order; mostly of few.
-func some(r *rand.Rand, values ...string) (out []string) {
+// drawSubset draws a subset of values, in their order. Each value is in it with a probability of one third.
+func drawSubset(r *rand.Rand, values ...string) (out []string) {
 	for _, v := range values {
 		if r.IntN(3) == 0 {
 			out = append(out, v)
@@ -61,7 +60,7 @@
 		p.Namespace = "nobody"
 	}
 	services, routes := goldenServices, []string{"send", "tokens", "quota", "later"}
-	if r.IntN(12) > 0 { // what is surely its namespace's
+	if r.IntN(12) > 0 { // only what the namespace certainly owns
 		owned := map[string][]string{"dispatch": {"send"}, "devicebook": {"book", "book"}, "quota": {"quota"}}
 		services, routes = owned[p.Namespace], []string{"later"}
 		if p.Namespace == "devicebook" {
@@ -70,11 +69,11 @@
 	}
 	switch r.IntN(4) {
 	case 0:
-		p.On.Routes = some(r, routes...)
+		p.On.Routes = drawSubset(r, routes...)
 	case 1:
-		p.On.Services = some(r, services...)
+		p.On.Services = drawSubset(r, services...)
 	case 2:
-		p.On.Callers = some(r, services...)
+		p.On.Callers = drawSubset(r, services...)
 	}
 	if r.IntN(2) == 0 {
 		p.Tries = r.IntN(4)
@@ -84,7 +83,7 @@
 		p.KeyedAgain = &again
 	}
 	if r.IntN(3) == 0 {
-		endings := some(r, "refused", "unreachable", "failed", "broken", "timed_out")
+		endings := drawSubset(r, "refused", "unreachable", "failed", "broken", "timed_out")
 		p.RetryOn = &endings
 	}
 	if r.IntN(2) == 0 {
@@ -102,7 +101,7 @@
 		p.Priority = &priority
 	}
 	if r.IntN(3) == 0 {
-		p.Callers = CallerRules{Allow: append(some(r, goldenServices...), "send"), Deny: some(r, "free"), Need: some(r, "book", "quota")}
+		p.Callers = CallerRules{Allow: append(drawSubset(r, goldenServices...), "send"), Deny: drawSubset(r, "free"), Need: drawSubset(r, "book", "quota")}
 	}
 	return p
 }
@@ -131,7 +130,7 @@
 	}
 }
 
-// goldenChecks looks at items by themselves, and at sets of them.
+// goldenChecks records the validation of single items and of sets, and the fingerprints of sets.
 func goldenChecks(r *rand.Rand, g *goldenrecord.Record) {
 	for n := range 20 {
 		p := drawPolicy(r, goldenrecord.Pick(r, "x", "x", "x", ""))
@@ -175,7 +174,7 @@
 	g.Say(f.Text)
 }
 
-// goldenMerged looks at merged policies, the decisions that follow and how they are told.
+// goldenMerged records merged policies, the decisions that follow from them, and their explanations.
 func goldenMerged(r *rand.Rand, g *goldenrecord.Record) {
 	s := NewSet(drawNamespaces(r), drawPolicies(r, 6), goldenRoutes())
 	for _, route := range s.Routes() {
@@ -192,6 +191,7 @@
 	g.Say(report.String())
 }
 
+// recordMerged records the merged policy for a caller's requests on a route to a service.
 func recordMerged(g *goldenrecord.Record, s *Set, route Route, service, caller string) {
 	clauses, governed := s.ClausesFor(route, service, caller)
 	if governed {
@@ -216,18 +216,18 @@
 	g.Say(x.String())
 }
 
-// goldenChanges has changes evaluated.
+// goldenChanges records the results of evaluating changes.
 func goldenChanges(r *rand.Rand, g *goldenrecord.Record) {
 	for range 20 {
 		namespaces := drawNamespaces(r)
 		policies := drawPolicies(r, 5)
-		if r.IntN(2) == 0 { // of an agreed set most fit
+		if r.IntN(2) == 0 { // without former policies, more changes are accepted
 			policies = nil
 		}
 		before := NewSet(namespaces, policies, goldenRoutes())
 		c := Change{
 			Author:   goldenrecord.Pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"),
-			Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x"),
+			Consents: drawSubset(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x"),
 		}
 		next, routes := drawChange(r, policies, &c)
 		after := NewSet(namespaces, next, routes)
@@ -258,7 +258,7 @@
 	}
 }
 
-// drawChange draws what a change makes of policies and routes, and names it in c.
+// drawChange draws the policies and routes after a change, and adds the changed items to c.
 func drawChange(r *rand.Rand, policies []Policy, c *Change) ([]Policy, []Route) {
 	next := append([]Policy(nil), policies...)
 	routes := goldenRoutes()
@@ -275,8 +275,8 @@
 			return next[:len(next)-1], routes
 		}
 	case 2:
-		c.Namespaces = some(r, "dispatch", "quota")
-		c.Others = some(r, "limits")
+		c.Namespaces = drawSubset(r, "dispatch", "quota")
+		c.Others = drawSubset(r, "limits")
 	}
 	p := drawPolicy(r, name)
 	p.ConfigVersion += 3
@@ -290,7 +290,7 @@
 	return append(next, p), routes
 }
 
-// goldenSteps plays the two steps of a rollout, at the leader and at three sidecars.
+// goldenSteps records the two steps of a rollout at the leader and at three sidecars.
 func goldenSteps(r *rand.Rand, g *goldenrecord.Record) {
 	var rollout Rollout
 	sidecars := make([]SidecarState, 3)
--- a/internal/mesh/policy/helpers_test.go
+++ b/internal/mesh/policy/helpers_test.go
@@ -2,10 +2,11 @@
 
 func boolPointer(b bool) *bool { return &b }
 
+// endings returns outcomes for Policy.RetryOn.
 func endings(names ...string) *[]string { return &names }
 
-// twoTeams is two teams, a part of the second, and the mesh's operator: the first's route send goes to the second's service
-// book as well.
+// twoTeams returns a set with the namespaces dispatch and devicebook, and quota, which is nested in devicebook. The route send of
+// dispatch also goes to the service book of devicebook.
 func twoTeams(policies ...Policy) *Set {
 	return NewSet([]Namespace{
 		{Name: "dispatch", Owners: []string{"ana", "bo"}, Services: []string{"send"}, Hosts: []string{"push.example"}},
--- a/internal/mesh/policy/report.go
+++ b/internal/mesh/policy/report.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Overlap is a route and service to which policies of several namespaces apply.
+// Overlap is a pair of a route and a service to which policies of several namespaces apply.
 type Overlap struct {
 	Route       string   `json:"route"`
 	Service     string   `json:"service"`
@@ -15,7 +15,7 @@
 	Fingerprint string   `json:"print"`
 }
 
-// Report is where policies of namespaces overlap, and which policies apply to no existing route.
+// Report is where policies of several namespaces overlap, and which policies apply to no existing route. It is sent to operators as JSON.
 type Report struct {
 	Overlaps []Overlap `json:"meetings"`
 	Unused   []string  `json:"idle"`
@@ -51,7 +51,7 @@
 	return r
 }
 
-// String returns the report in lines, as operators read it.
+// String returns the report as lines of text for operators.
 func (r Report) String() string {
 	w := &strings.Builder{}
 	for _, o := range r.Overlaps {
@@ -67,7 +67,7 @@
 	return w.String()
 }
 
-// WriteText writes the report in the form of String. As with fmt.Print, errors of the writer are ignored.
+// WriteText writes the result of String. It ignores errors of the writer.
 func (r Report) WriteText(w io.Writer) {
 	_, _ = io.WriteString(w, r.String())
 }
--- a/internal/mesh/policy/rollout_test.go
+++ b/internal/mesh/policy/rollout_test.go
@@ -9,66 +9,70 @@
 	"gotest.tools/v3/assert"
 )
 
-// frame is what a sidecar's member tells it; frames come in the order in which they were sent.
+// frame is a message from a control-plane member to a sidecar. Frames arrive in the order in which they were sent.
 type frame struct {
-	kind     byte   // one of the kinds below
-	received int    // items, table: the set among the items
-	active   int    // activation, answer, table
-	agreed   int    // answer
-	index    uint64 // activation, answer, table: of the entry that activated the set
-	askedAt  int    // answer, table: when the sidecar asked
+	kind        byte   // one of the kinds below; they determine which fields are set
+	received    int    // items, table: the set that the items form
+	active      int    // activation, answer, table: the active set
+	agreed      int    // answer: the agreed set
+	index       uint64 // activation, answer, table: the log entry that activated the set
+	requestedAt int    // answer, table: when the sidecar sent the request
 }
 
 // Kinds of frames.
 const (
 	itemsFrame      = 'i' // changed items
-	activationFrame = 'b' // a set is active
-	answerFrame     = 'a' // to whether the set is still active
-	tableFrame      = 't' // all items, and the active set
+	activationFrame = 'b' // a set was activated
+	answerFrame     = 'a' // answer to a request for confirmation of the active set
+	tableFrame      = 't' // answer to a request for all items and the active set
 )
 
-// sidecarModel is a sidecar in the search.
+// sidecarModel is a sidecar in the search. The zero value is one that has just started.
 type sidecarModel struct {
 	state    SidecarState
-	received int // the set among its items
-	queue    []frame
-	ready    bool // it has had its first table
-	violated bool // it goes by a set that it received only in part, or that was never active
+	received int     // the set that its items form
+	queue    []frame // sent to it and not delivered yet
+	ready    bool    // it has received its first table
+	violated bool    // it adopted a set that it has not received, or an older one
 }
 
 // rolloutModel is a state of the search. Sets are numbered from 0, and time is in seconds.
 type rolloutModel struct {
 	rollout    Rollout
 	agreed     int
-	index      uint64 // log entries so far
-	activated  []int  // by entry: the set that it activated; -1: none
-	agreedAt   int    // since when the leader knows of the agreed set
+	index      uint64 // of the latest log entry
+	activated  []int  // by log entry: the set that it activated, or noSet
+	agreedAt   int    // when the leader learned of the agreed set
 	now        int
-	replacedAt int // when the set before the active one ceased to be so
+	replacedAt int // when the active set replaced the former one
 	sidecars   []sidecarModel
-	frameLost  bool
-	trail      string
+	frameLost  bool   // one frame was lost; no more are
+	trail      string // the steps that led to the state, for failure messages
 }
 
-// Bounds of the search.
+// noSet stands for a log entry that did not activate a set.
+const noSet = -1
+
+// Limits of the search.
 const (
 	lastSecond    = 9
 	lastSet       = 2
 	maxQueue      = 3
-	maxStartTrail = 40 // sidecars start again only in trails shorter than that
+	maxStartTrail = 40 // sidecars restart only while the trail has fewer bytes, which depends on the names of the steps
 )
 
-// mutation is an error put into the model, which the search must find.
+// mutation is a fault injected into the model, which the search must find.
 type mutation string
 
 const (
 	noMutation       mutation = ""
-	activateAtOnce   mutation = "early"   // without waiting for sidecars
-	fenceFromArrival mutation = "arrival" // the fence runs from an answer's arrival
-	adoptAnySet      mutation = "half"    // a sidecar goes by what is active whether it has received it or not
-	startWithItems   mutation = "table"   // a sidecar that starts goes by the items that it has
+	activateAtOnce   mutation = "early"   // the leader does not wait for sidecars
+	fenceFromArrival mutation = "arrival" // FenceTimeout is counted from the arrival of an answer instead of its request
+	adoptAnySet      mutation = "half"    // a sidecar adopts the active set even if it has not received it
+	startWithItems   mutation = "table"   // a sidecar that starts takes the set that its items form for the active one
 )
 
+// setName returns the fingerprint of a set.
 func setName(n int) string {
 	if n == 0 {
 		return ""
@@ -78,14 +82,14 @@
 
 func seconds(n int) time.Duration { return time.Duration(n) * time.Second }
 
-// editSidecar is a sidecar of a copy of the model, with a queue of its own.
+// editSidecar returns a sidecar of the model that may be changed: it first clones what copies of the model share.
 func (m *rolloutModel) editSidecar(i int) *sidecarModel {
 	m.sidecars = slices.Clone(m.sidecars)
 	m.sidecars[i].queue = slices.Clone(m.sidecars[i].queue)
 	return &m.sidecars[i]
 }
 
-// broadcast sends a frame to all sidecars that have had their first table.
+// broadcast sends a frame to all sidecars that have received their first table.
 func (m *rolloutModel) broadcast(f frame) {
 	for i := range m.sidecars {
 		if s := m.editSidecar(i); s.ready {
@@ -94,18 +98,18 @@
 	}
 }
 
-// activeSet is the set that the latest activation is of.
+// activeSet returns the set that was activated last, or 0 if there is none.
 func (m rolloutModel) activeSet() int {
 	active := 0
 	for _, set := range m.activated {
-		if set >= 0 {
+		if set != noSet {
 			active = set
 		}
 	}
 	return active
 }
 
-// successors are all that may happen next.
+// successors returns the states after each step that is possible next.
 func (m rolloutModel) successors(mutated mutation) (next []rolloutModel) {
 	add := func(name string, successor rolloutModel, possible bool) {
 		if possible {
@@ -120,19 +124,19 @@
 	add("change", changed, ok)
 	activated, ok := m.activate(mutated)
 	add("bind", activated, ok)
-	elected := m // another leader, which begins to wait again
+	elected := m // a new leader waits for the sidecars from the beginning
 	elected.agreedAt = m.now
 	add("lead", elected, m.rollout.IsPending() && m.agreedAt < m.now)
 	for i := range m.sidecars {
 		asked, ok := m.ask(i)
 		add(fmt.Sprint("ask", i), asked, ok)
-		given, ok := m.giveTable(i)
-		add(fmt.Sprint("table", i), given, ok)
-		restarted := m // it has forgotten all
+		requested, ok := m.requestTable(i)
+		add(fmt.Sprint("table", i), requested, ok)
+		restarted := m // without its former state
 		*restarted.editSidecar(i) = sidecarModel{}
 		add(fmt.Sprint("start", i), restarted, m.sidecars[i].ready && len(m.trail) < maxStartTrail)
 		lost, ok := m.lose(i)
-		add(fmt.Sprint("lost", i), lost, ok)
+		add(fmt.Sprint("lose", i), lost, ok)
 		if queue := m.sidecars[i].queue; len(queue) > 0 {
 			add(fmt.Sprintf("%c%d", queue[0].kind, i), m.deliver(i, mutated), true)
 		}
@@ -140,7 +144,7 @@
 	return next
 }
 
-// change has another set agreed on.
+// change makes another set the agreed one.
 func (m rolloutModel) change() (rolloutModel, bool) {
 	if m.agreed == lastSet {
 		return m, false
@@ -148,14 +152,14 @@
 	m.agreed++
 	m.index++
 	m.rollout = m.rollout.Agree(setName(m.agreed), m.index)
-	m.activated = append(slices.Clone(m.activated), -1)
+	m.activated = append(slices.Clone(m.activated), noSet)
 	m.agreedAt = m.now
 	m.broadcast(frame{kind: itemsFrame, received: m.agreed})
 	return m, true
 }
 
-// activate has the agreed set activated. The leader knows what each sidecar has received: where it may not hear of one, it only
-// waits longer.
+// activate activates the agreed set. The leader of the model knows what each sidecar has received. One that misses reports only
+// waits longer, so the search does not need them.
 func (m rolloutModel) activate(mutated mutation) (rolloutModel, bool) {
 	var reports []SidecarReport
 	for _, s := range m.sidecars {
@@ -177,29 +181,29 @@
 	return m, true
 }
 
-// ask has a sidecar ask whether its set is still active.
+// ask makes a sidecar request confirmation of the active set.
 func (m rolloutModel) ask(i int) (rolloutModel, bool) {
 	s := m.editSidecar(i)
-	answering := slices.ContainsFunc(s.queue, func(f frame) bool { return f.kind == answerFrame })
-	if len(s.queue) >= maxQueue || !s.ready || answering {
+	answerPending := slices.ContainsFunc(s.queue, func(f frame) bool { return f.kind == answerFrame })
+	if len(s.queue) >= maxQueue || !s.ready || answerPending {
 		return m, false
 	}
-	s.queue = append(s.queue, frame{kind: answerFrame, active: m.activeSet(), agreed: m.agreed, index: m.rollout.ActiveIndex, askedAt: m.now})
+	s.queue = append(s.queue, frame{kind: answerFrame, active: m.activeSet(), agreed: m.agreed, index: m.rollout.ActiveIndex, requestedAt: m.now})
 	return m, true
 }
 
-// giveTable has a sidecar read all items, from another member or once more.
-func (m rolloutModel) giveTable(i int) (rolloutModel, bool) {
+// requestTable makes a sidecar read all items, from another member or again, if its sets are not current.
+func (m rolloutModel) requestTable(i int) (rolloutModel, bool) {
 	s := m.editSidecar(i)
 	current := s.ready && s.state.Active == m.rollout.Active && s.state.Received == m.rollout.Agreed
 	if len(s.queue) >= maxQueue || current {
 		return m, false
 	}
-	s.queue = []frame{{kind: tableFrame, received: m.agreed, active: m.activeSet(), index: m.rollout.ActiveIndex, askedAt: m.now}}
+	s.queue = []frame{{kind: tableFrame, received: m.agreed, active: m.activeSet(), index: m.rollout.ActiveIndex, requestedAt: m.now}}
 	return m, true
 }
 
-// lose has a sidecar fail to read a frame, once.
+// lose drops the first frame of a sidecar's queue, unless one was lost before or it is a table.
 func (m rolloutModel) lose(i int) (rolloutModel, bool) {
 	s := m.editSidecar(i)
 	if len(s.queue) == 0 || m.frameLost || s.queue[0].kind == tableFrame {
@@ -210,14 +214,14 @@
 	return m, true
 }
 
-// deliver has a sidecar take the first frame of its queue.
+// deliver makes a sidecar process the first frame of its queue.
 func (m rolloutModel) deliver(i int, mutated mutation) rolloutModel {
 	s := m.editSidecar(i)
 	f := s.queue[0]
 	s.queue = s.queue[1:]
-	asked := seconds(f.askedAt)
+	requestedAt := seconds(f.requestedAt)
 	if mutated == fenceFromArrival {
-		asked = seconds(m.now)
+		requestedAt = seconds(m.now)
 	}
 	switch f.kind {
 	case itemsFrame:
@@ -229,13 +233,13 @@
 		if mutated == adoptAnySet {
 			agreed = s.state.Received
 		}
-		s.state, _ = s.state.Confirm(setName(f.active), f.index, agreed, asked)
+		s.state, _ = s.state.Confirm(setName(f.active), f.index, agreed, requestedAt)
 	case tableFrame:
 		s.receive(f.received)
 		if mutated == startWithItems {
 			f.active = s.received
 		}
-		s.state = s.state.Restore(setName(f.active), f.index, asked)
+		s.state = s.state.Restore(setName(f.active), f.index, requestedAt)
 		s.ready = true
 	}
 	return m
@@ -259,7 +263,7 @@
 	}
 }
 
-// violation is what is wrong; "" means nothing.
+// violation returns which invariant the state violates, or "" if none.
 func (m rolloutModel) violation() string {
 	for i, s := range m.sidecars {
 		if !s.ready || s.state.IsFenced(seconds(m.now)) {
@@ -268,26 +272,27 @@
 		index := int(s.state.ActiveIndex)
 		switch {
 		case s.violated:
-			return fmt.Sprintf("sidecar %d goes by a set that it has not received, or back", i)
+			return fmt.Sprintf("sidecar %d adopted a set that it has not received, or an older one", i)
 		case index > 0 && (index > len(m.activated) || setName(max(0, m.activated[index-1])) != s.state.Active):
-			return fmt.Sprintf("sidecar %d goes by %q, which entry %d never activated", i, s.state.Active, index)
+			return fmt.Sprintf("sidecar %d uses set %q, which log entry %d did not activate", i, s.state.Active, index)
 		case index == 0 && s.state.Active != "":
-			return fmt.Sprintf("sidecar %d goes by %q, and nothing is active", i, s.state.Active)
+			return fmt.Sprintf("sidecar %d uses set %q although no set was activated", i, s.state.Active)
 		case s.state.HasPolicies && s.state.Active != m.rollout.Active && seconds(m.now-m.replacedAt) > FenceTimeout:
-			return fmt.Sprintf("sidecar %d goes by %q, and %q has been active for %d s", i, s.state.Active, m.rollout.Active, m.now-m.replacedAt)
+			return fmt.Sprintf("sidecar %d still uses set %q although %q has been active for %d s", i, s.state.Active, m.rollout.Active, m.now-m.replacedAt)
 		case m.rollout.ActiveIndex > 0 && s.received < slices.Max(m.activated) && m.now == m.replacedAt:
-			return fmt.Sprintf("sidecar %d has not received what has just become active, and is not fenced", i)
+			return fmt.Sprintf("sidecar %d is not fenced although it has not received the set that was just activated", i)
 		}
 	}
 	return ""
 }
 
+// key identifies a state, whatever steps led to it.
 func (m rolloutModel) key() string {
 	m.trail = ""
 	return fmt.Sprint(m)
 }
 
-// searchRollout visits states until one is wrong, or so many were visited.
+// searchRollout visits states, breadth first, until one violates an invariant or maxStates were visited.
 func searchRollout(mutated mutation, sidecars, maxStates int) (states int, violation, trail string) {
 	visited := map[string]bool{}
 	first := rolloutModel{sidecars: make([]sidecarModel, sidecars)}
@@ -306,9 +311,9 @@
 	return len(visited), "", ""
 }
 
-// Three sets, a leader that may change, sidecars that start again and follow other members: all orders of what is told, asked
-// and answered, with time in between. No sidecar goes by a set that it has not received or that was never active, none goes
-// back, and none goes by a set that was replaced for longer than the fence time-out.
+// Searches the interleavings of a rollout: sets change, the leader changes, sidecars restart and read from other members, and
+// frames are delivered late or lost. No sidecar may use a set that it has not received or that was never active, return to an
+// older set, or use a replaced set for longer than FenceTimeout.
 func TestRolloutEveryInterleaving(t *testing.T) {
 	for _, x := range []struct {
 		name                string
@@ -322,7 +327,7 @@
 	}
 }
 
-// The search finds each error that is put into the model.
+// The search finds each fault that is injected into the model.
 func TestRolloutSearchFindsMutations(t *testing.T) {
 	for _, mutated := range []mutation{activateAtOnce, adoptAnySet, startWithItems, fenceFromArrival} {
 		t.Run(string(mutated), func(t *testing.T) {
--- a/internal/mesh/policy/route.go
+++ b/internal/mesh/policy/route.go
@@ -6,16 +6,16 @@
 type Route struct {
 	Name        string
 	Host        string
-	Prefix      string   // of requests' paths
-	Version     int64    // of the route's item
-	Services    []string // that it sends to
-	TimeoutS    float64  // seconds that one request may take
-	MaxAttempts int      // servers that one request may be sent to
+	Prefix      string   // of the paths of requests
+	Version     int64    // of the route's configuration item
+	Services    []string // that the route sends to
+	TimeoutS    float64  // maximum time for a request, in seconds
+	MaxAttempts int      // maximum number of servers that a request is sent to
 	Priority    int      // 0 is the highest
-	AtMostOnce  bool     // a request runs at most once
+	AtMostOnce  bool     // a request must not run more than once
 }
 
-// Example describes a request that the route matches. An empty caller stands for any.
+// Example describes a request that matches the route. An empty caller stands for any caller.
 func (r Route) Example(caller string) string {
 	if caller == "" {
 		caller = "(any)"
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s%s, Caller-Service: %s", r.Host, r.Prefix, caller)
 }
 
-// clauses returns the clauses of the route's own item, which the mesh's operator has set.
+// clauses returns the clauses of the route's own configuration item, which belong to the mesh's operator.
 func (r Route) clauses() Clauses {
 	source := Source{MeshNamespace, "route " + r.Name, r.Version, RoleItem}
 	return Clauses{
--- a/internal/mesh/policy/set.go
+++ b/internal/mesh/policy/set.go
@@ -19,14 +19,14 @@
 	serviceOwners map[string]string
 	hostOwners    map[string]string
 	prefixOwners  map[string][]ownedPrefix // by host, the longest prefix first
-	ancestors     map[string][]string      // a namespace and those that it is nested in
-	doublyOwned   []string                 // faults: things that two namespaces own
+	ancestors     map[string][]string      // each namespace and those that it is nested in, innermost first
+	doublyOwned   []string                 // descriptions of what two namespaces own, which is not valid
 
-	defaults map[string][]*compiledPolicy          // by namespace: those with an empty selector
-	targeted map[Role]map[string][]*compiledPolicy // the others, by role and name of what they select
+	defaults map[string][]*compiledPolicy          // policies with an empty selector, by namespace
+	targeted map[Role]map[string][]*compiledPolicy // policies with a selector, by role and selected name
 }
 
-// compiledPolicy is a policy with its clauses in each role.
+// compiledPolicy is the clauses of a policy for each role in which it may apply.
 type compiledPolicy struct {
 	namespace string
 	clauses   map[Role]Clauses
@@ -34,7 +34,7 @@
 
 type ownedPrefix struct{ prefix, owner string }
 
-// NewSet returns the set of some items. It does not check that they are consistent, see validate.
+// NewSet returns the set of the given items. It does not check that they are consistent; Evaluate does.
 func NewSet(namespaces []Namespace, policies []Policy, routes []Route) *Set {
 	s := &Set{
 		namespaces:    map[string]Namespace{},
@@ -81,7 +81,7 @@
 	}
 }
 
-// addOwner records the owner of a service or host. Of two owners the first is kept.
+// addOwner records the owner of a service or host. If there are two, it keeps the first and records the fault.
 func (s *Set) addOwner(owners map[string]string, kind, name, owner string) {
 	if other, owned := owners[name]; owned && other != owner {
 		s.doublyOwned = append(s.doublyOwned, fmt.Sprintf("%s %s is owned by %s and by %s", kind, name, other, owner))
@@ -90,6 +90,7 @@
 	owners[name] = owner
 }
 
+// addPrefix records the owner of a prefix. If there are two, it keeps the first and records the fault.
 func (s *Set) addPrefix(host string, p ownedPrefix) {
 	for _, other := range s.prefixOwners[host] {
 		if other.prefix != p.prefix {
@@ -118,7 +119,8 @@
 	}
 }
 
-// ancestorsOf returns a namespace and those that it is nested in. ok is false if they form a loop or are nested too deeply.
+// ancestorsOf returns a namespace and those that it is nested in, innermost first. ok is false if they form a cycle or are nested too
+// deeply.
 func (s *Set) ancestorsOf(name string) (names []string, ok bool) {
 	for n := name; n != "" && n != MeshNamespace; n = s.namespaces[n].Within {
 		if slices.Contains(names, n) || len(names) == maxNesting {
@@ -132,7 +134,7 @@
 // Routes returns all routes, ordered by name.
 func (s *Set) Routes() []Route { return sortedByName(s.routes) }
 
-// Route returns the route with a name, if there is one.
+// Route returns the route with the given name, if there is one.
 func (s *Set) Route(name string) (Route, bool) {
 	r, exists := s.routes[name]
 	return r, exists
@@ -165,7 +167,7 @@
 	return MeshNamespace
 }
 
-// OwnersOfService returns the namespace that owns a service and those that it is nested in.
+// OwnersOfService returns the namespace that owns a service and those that this one is nested in, the last of which is MeshNamespace.
 func (s *Set) OwnersOfService(name string) []string {
 	return append(slices.Clone(s.ancestors[s.OwnerOfService(name)]), MeshNamespace)
 }
@@ -184,15 +186,16 @@
 	return MeshNamespace
 }
 
-// governs reports whether an owner is a given namespace or is nested in it.
+// governs reports whether the policies of a namespace apply to what an owner owns: the owner is that namespace or is nested in it, as
+// all are in MeshNamespace.
 func (s *Set) governs(namespace, owner string) bool {
 	return namespace == owner || namespace == MeshNamespace || slices.Contains(s.ancestors[owner], namespace)
 }
 
-// ClausesFor returns the merged policy for requests of a route to a service. caller is the calling service, or empty for any.
-// governed says that policies of namespaces apply to them besides the route's own item, or may do so later because a
-// namespace owns a part of it. A sidecar that can't confirm which policies are active has to know this even before
-// the first policy.
+// ClausesFor returns the merged policy for requests on a route to a service. caller is the calling service, or empty
+// for any caller. governed says that policies apply to these requests besides the route's own item, or may do so later
+// because a namespace owns the route or one of the services. A sidecar that can't confirm which policies are active
+// rejects such requests, and must do so even before it knows any policy for them.
 func (s *Set) ClausesFor(route Route, service, caller string) (clauses Clauses, governed bool) {
 	add := func(role Role, owner string, policies []*compiledPolicy) {
 		for _, p := range policies {
@@ -202,7 +205,7 @@
 		}
 	}
 	add(RoleMesh, MeshNamespace, s.defaults[MeshNamespace])
-	for _, side := range []struct {
+	for _, party := range []struct {
 		role        Role
 		name, owner string
 	}{
@@ -210,21 +213,21 @@
 		{RoleServiceOwner, service, s.OwnerOfService(service)},
 		{RoleCallerOwner, caller, s.OwnerOfService(caller)},
 	} {
-		if side.name == "" {
+		if party.name == "" {
 			continue
 		}
-		governed = governed || side.owner != MeshNamespace
-		for _, namespace := range s.ancestors[side.owner] {
-			add(side.role, side.owner, s.defaults[namespace])
+		governed = governed || party.owner != MeshNamespace
+		for _, namespace := range s.ancestors[party.owner] { // MeshNamespace is not among them, and is added above
+			add(party.role, party.owner, s.defaults[namespace])
 		}
-		add(side.role, side.owner, s.targeted[side.role][side.name])
+		add(party.role, party.owner, s.targeted[party.role][party.name])
 	}
 	return Merge(clauses, route.clauses()), governed || len(clauses) > 0
 }
 
-// validate returns the first inconsistency of the items: something that two namespaces own, a loop of delegations, a policy of an unknown
-// namespace, or a policy that selects something that its namespace does not own. A policy may select something that does not exist yet;
-// it has no effect until then. The error is ErrInvalidSet.
+// validate returns the first inconsistency of the items as ErrInvalidSet: something that two namespaces own, a namespace nested in an
+// unknown one, in itself or too deeply, a policy of an unknown namespace, or a policy that selects something that its namespace does not
+// own. A policy may select a route that does not exist yet; it has no effect until the route exists.
 func (s *Set) validate() error {
 	if len(s.doublyOwned) > 0 {
 		return invalidSet("the namespaces", "%s", s.doublyOwned[0])
@@ -253,7 +256,7 @@
 	return errors.Annotatef(ErrInvalidSet, "%s: %s", item, fmt.Sprintf(format, args...))
 }
 
-// validateSelector returns an error for the first thing that a policy selects although its namespace does not own it.
+// validateSelector returns an error for the first service or route that a policy selects although its namespace does not own it.
 func (s *Set) validateSelector(p Policy) error {
 	for _, service := range slices.Concat(p.On.Services, p.On.Callers) {
 		if owner := s.OwnerOfService(service); !s.governs(p.Namespace, owner) {
--- a/internal/mesh/policy/set_test.go
+++ b/internal/mesh/policy/set_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// meetingPolicies are policies of both teams and the operator on the same requests.
-func meetingPolicies() []Policy {
+// overlappingPolicies returns policies of both teams and the operator that apply to the same requests.
+func overlappingPolicies() []Policy {
 	return []Policy{
 		{Name: "patience", ConfigVersion: 4, Namespace: "dispatch", TimeoutS: 1.5, Tries: 2},
 		{
@@ -33,7 +33,8 @@
 	return r
 }
 
-func TestOwners(t *testing.T) {
+// The owner of a route follows from its prefix, or else its host. What no namespace owns belongs to the operator.
+func TestSetOwners(t *testing.T) {
 	s := twoTeams()
 	for route, want := range map[string]string{"send": "dispatch", "tokens": "devicebook", "quota": MeshNamespace} {
 		assert.Equal(t, s.OwnerOfRoute(routeNamed(t, s, route)), want, route)
@@ -42,9 +43,9 @@
 	assert.Equal(t, s.OwnerOfService("none"), MeshNamespace)
 }
 
-// Whose clauses a request meets, and which of them hold.
-func TestClausesMeetOnARoute(t *testing.T) {
-	s := twoTeams(meetingPolicies()...)
+// ClausesFor merges the policies of all namespaces that a request concerns; the tightest clause of each field is effective.
+func TestClausesForMergesPolicies(t *testing.T) {
+	s := twoTeams(overlappingPolicies()...)
 	assert.NilError(t, s.validate())
 	for _, x := range []struct {
 		name, route, service, caller string
@@ -77,8 +78,8 @@
 	}
 }
 
-func TestDecisionOfADeniedCaller(t *testing.T) {
-	s := twoTeams(meetingPolicies()...)
+func TestDecideForDeniedCaller(t *testing.T) {
+	s := twoTeams(overlappingPolicies()...)
 	send := routeNamed(t, s, "send")
 	clauses, _ := s.ClausesFor(send, "book", "book")
 	d := clauses.Decide(send, "book")
@@ -92,17 +93,18 @@
 		"ruling calm of devicebook, version 2 (as caller) ruling patience of dispatch, version 4 (as route)")
 }
 
-func TestGovernedIsWhatANamespaceOwns(t *testing.T) {
+// Requests are governed if a namespace owns the route or a service, even without any policy.
+func TestClausesForReportsGoverned(t *testing.T) {
 	s := twoTeams()
 	quota := routeNamed(t, s, "quota")
 	_, governed := s.ClausesFor(quota, "quota", "send")
-	assert.Assert(t, governed, "its owner may set a policy tomorrow")
+	assert.Assert(t, governed, "the owner of the route or a service may set a policy later")
 	_, governed = s.ClausesFor(quota, "elsewhere", "elsewhere")
-	assert.Assert(t, !governed, "what nobody owns holds as it is")
+	assert.Assert(t, !governed, "no namespace owns the route or a service")
 }
 
-// Ten thousand routes of two hundred namespaces, each with policies: what a sidecar computes at a change, and what a
-// control-plane member does.
+// Measures what a sidecar and a control-plane member compute at a change, with 10,000 routes of 200 namespaces, each with
+// policies.
 func BenchmarkPolicySet(b *testing.B) {
 	namespaces, policies, routes := manyItems()
 	before := NewSet(namespaces, policies, routes)
@@ -125,6 +127,7 @@
 	})
 }
 
+// manyItems returns the items of BenchmarkPolicySet.
 func manyItems() (namespaces []Namespace, policies []Policy, routes []Route) {
 	const teams, routeCount = 200, 10_000
 	service := func(n int) string { return fmt.Sprint("s", n%teams) }
--- a/internal/mesh/policy/sidecarstate.go
+++ b/internal/mesh/policy/sidecarstate.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// SidecarState is a sidecar's side of a rollout: the set that it has received, the active set, and until when it may
-// use that. Methods return the next state.
+// SidecarState is the state of a rollout at a sidecar: the set that it has received, the active set that it uses, and
+// when that was last confirmed. Methods return the next state.
 type SidecarState struct {
-	Received    string // fingerprint of the set among its items
+	Received    string // fingerprint of the set that it has received
 	Active      string // fingerprint of the set that it uses
 	ActiveIndex uint64 // the log entry that activated it
-	HasPolicies bool   // it has ever heard of a set; otherwise it is never fenced
-	// ConfirmedAt is when it sent the latest request whose response confirmed Active, by its own monotonic clock. The time of the
-	// response would not do, because the set may have been replaced while the response was in flight.
+	HasPolicies bool   // it has received or used a non-empty set at any time; otherwise it is never fenced
+	// ConfirmedAt is when, by its own monotonic clock, the sidecar sent the latest request whose response confirmed Active. The arrival
+	// of the response would be too late, because the set may have been replaced while the response was in flight.
 	ConfirmedAt time.Duration
 }
 
@@ -21,9 +21,9 @@
 	return s
 }
 
-// Activate returns the state after a notice that an entry has activated a set. adopt says that the sidecar uses the
-// set that it has received from now on; reload that it has not received the activated set and has to read all items
-// again. An older notice changes nothing.
+// Activate returns the state after a notice that the log entry at an index has activated a set. adopt says that the
+// sidecar must use the set that it has received from now on. reload says that it has not received the activated set and
+// must read all items again. A notice that is not newer than the active set changes nothing.
 func (s SidecarState) Activate(fingerprint string, index uint64) (_ SidecarState, adopt, reload bool) {
 	switch {
 	case index <= s.ActiveIndex:
@@ -36,29 +36,30 @@
 	return s, true, false
 }
 
-// Restore returns the state after a linearizable read, requested at a time, has returned the active set.
-func (s SidecarState) Restore(fingerprint string, index uint64, asked time.Duration) SidecarState {
+// Restore returns the state after a linearizable read, requested at requestedAt, has returned the active set.
+func (s SidecarState) Restore(fingerprint string, index uint64, requestedAt time.Duration) SidecarState {
 	if index < s.ActiveIndex {
 		return s
 	}
 	s.Active = fingerprint
 	s.ActiveIndex = index
 	s.HasPolicies = s.HasPolicies || fingerprint != ""
-	s.ConfirmedAt = max(s.ConfirmedAt, asked)
+	s.ConfirmedAt = max(s.ConfirmedAt, requestedAt)
 	return s
 }
 
-// Confirm returns the state after a linearizable read, requested at a time, has returned which sets are active and
-// agreed on. It returns false if the sidecar has others and must read all items again.
-func (s SidecarState) Confirm(active string, index uint64, agreed string, asked time.Duration) (SidecarState, bool) {
+// Confirm returns the state after a linearizable read, requested at requestedAt, has returned the fingerprints of the
+// active and the agreed set. It returns false if the sidecar's sets differ from those, so that it must read all items
+// again.
+func (s SidecarState) Confirm(active string, index uint64, agreed string, requestedAt time.Duration) (SidecarState, bool) {
 	if active != s.Active || index != s.ActiveIndex || agreed != s.Received {
 		return s, false
 	}
-	s.ConfirmedAt = max(s.ConfirmedAt, asked)
+	s.ConfirmedAt = max(s.ConfirmedAt, requestedAt)
 	return s, true
 }
 
-// IsFenced reports whether the sidecar may no longer use its active set.
+// IsFenced reports whether the sidecar may no longer use its active set, because it was not confirmed within FenceTimeout.
 func (s SidecarState) IsFenced(now time.Duration) bool {
 	return s.HasPolicies && now-s.ConfirmedAt > FenceTimeout
 }
--- a/internal/mesh/policy/validate_test.go
+++ b/internal/mesh/policy/validate_test.go
@@ -11,7 +11,7 @@
 
 type validator interface{ Validate() *validation.Fault }
 
-// What a namespace or a policy says wrong by itself is told with its field.
+// Validate reports each fault of a namespace or a policy with the path of its field.
 func TestValidateNamesTheField(t *testing.T) {
 	two := 2.0
 	for want, x := range map[string]validator{
