--- a/internal/mesh/controlplane/policy_activation.go
+++ b/internal/mesh/controlplane/policy_activation.go
@@ -70,7 +70,7 @@
 func (a *policyActivator) surveyed() (sidecars []policy.SidecarReport) {
 	for _, record := range a.replica.Records().All() {
 		status := a.survey.status[record.Addr]
-		seen := policy.SidecarReport{Name: record.Node, Silent: status == nil}
+		seen := policy.SidecarReport{Name: record.Node, Unresponsive: status == nil}
 		if status != nil {
 			seen.Received = status.CommittedPolicy
 		}
--- a/internal/mesh/maintenance/ordersearch_test.go
+++ b/internal/mesh/maintenance/ordersearch_test.go
@@ -175,8 +175,8 @@
 
 // Searches all interleavings of what may happen to an order: two members that both consider themselves the leader propose
 // changes, which arrive late, twice or never; an operator aborts the order or reports that the maintenance is done; the
-// machine stops answering and comes back; the window ends. Each step must follow a step that it may follow, each change must
-// be applied at most once, and the next decision on a machine that is cordoned near or after its window's end must be to return it.
+// machine stops answering and comes back; the window ends. Each step must be allowed after the one before it, each change
+// must be applied at most once, and the next decision on a machine that is cordoned near or after its window's end must be to return it.
 func TestOrderEveryInterleaving(t *testing.T) {
 	search := orderSearch{t: t, view: testView(), visited: map[string]bool{}}
 	first := searchObservations[0]
--- a/internal/mesh/maintenance/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -37,8 +37,8 @@
 }
 
 const (
-	lookAhead      = 60 * 24 * time.Hour // how far ahead windows are searched
-	maxNextWindows = 3
+	lookAhead      = 60 * 24 * time.Hour // how far ahead plans search for windows
+	maxNextWindows = 3                   // in a Verdict
 )
 
 // Plan returns whether a machine may be taken out now for a maintenance of the given length, and if not, why. Every
@@ -47,20 +47,20 @@
 	return v.evaluate(addr, now, func(transition time.Duration) time.Duration { return transition + length })
 }
 
-// Recheck returns whether a machine that is out or being drained may remain so: for at least the time that it needs to come back.
+// Recheck returns whether a machine that is out or being drained may still be out for the time that it needs to come back.
 func (v View) Recheck(addr string, now TimeBounds) Verdict {
 	return v.evaluate(addr, now, func(time.Duration) time.Duration { return v.Parameters.WarmUp })
 }
 
-// evaluate checks whether a machine may be out from now on. timeOut returns for how long, given the machine's transition time.
-func (v View) evaluate(addr string, now TimeBounds, timeOut func(transition time.Duration) time.Duration) (verdict Verdict) {
+// evaluate checks whether a machine may be out from now on. neededTime returns for how long, given the machine's transition time.
+func (v View) evaluate(addr string, now TimeBounds, neededTime func(transition time.Duration) time.Duration) (verdict Verdict) {
 	machine, exists := v.machine(addr)
 	if !exists {
 		verdict.addReason(Reason{Text: addr + " is no machine that is known"})
 		return verdict
 	}
 	verdict.TransitionTime = v.TransitionTime(machine)
-	planned := absence{duration: timeOut(verdict.TransitionTime), margin: v.Parameters.Margin, now: now}
+	planned := absence{duration: neededTime(verdict.TransitionTime), margin: v.Parameters.Margin, now: now}
 	horizon := Interval{now.Earliest, now.Latest.Add(lookAhead)}
 	approved := []Interval{horizon}
 	for _, contract := range v.Contracts {
@@ -93,6 +93,7 @@
 	return Interval{a.now.Earliest, a.now.Latest.Add(a.duration + a.margin)}
 }
 
+// addReason adds a reason why the machine may not be taken out.
 func (verdict *Verdict) addReason(r Reason) { verdict.Reasons = append(verdict.Reasons, r) }
 
 // addContract adds a contract that covers the machine. Approvers are those whom all such contracts name.
--- a/internal/mesh/policy/clause.go
+++ b/internal/mesh/policy/clause.go
@@ -12,22 +12,22 @@
 
 // Fields.
 const (
-	FieldTries      Field = "Tries"
-	FieldKeyedAgain Field = "KeyedAgain"
-	FieldRetryOn    Field = "RetryOn"
-	FieldTimeout    Field = "TimeoutS"
-	FieldNeeds      Field = "NeedsS"
-	FieldRetryRatio Field = "RetryRatio"
-	FieldPriority   Field = "Priority"
-	FieldAllow      Field = "Callers.Allow"
-	FieldDeny       Field = "Callers.Deny"
-	FieldNeed       Field = "Callers.Need"
+	FieldTries           Field = "Tries"
+	FieldKeyedAgain      Field = "KeyedAgain"
+	FieldRetryOn         Field = "RetryOn"
+	FieldTimeout         Field = "TimeoutS"
+	FieldNeededTime      Field = "NeedsS"
+	FieldRetryRatio      Field = "RetryRatio"
+	FieldPriority        Field = "Priority"
+	FieldAllowedCallers  Field = "Callers.Allow"
+	FieldDeniedCallers   Field = "Callers.Deny"
+	FieldRequiredCallers Field = "Callers.Need"
 )
 
 // AllFields are all fields, in the order in which they are shown.
 var AllFields = []Field{
-	FieldTries, FieldKeyedAgain, FieldRetryOn, FieldTimeout, FieldNeeds, FieldRetryRatio, FieldPriority,
-	FieldAllow, FieldDeny, FieldNeed,
+	FieldTries, FieldKeyedAgain, FieldRetryOn, FieldTimeout, FieldNeededTime, FieldRetryRatio, FieldPriority,
+	FieldAllowedCallers, FieldDeniedCallers, FieldRequiredCallers,
 }
 
 // mergeKind is how the clauses on a field are merged, and so which of two clauses is the tighter one.
@@ -45,16 +45,16 @@
 
 // mergeKinds is how each field is merged. docs/design/rules.md gives the reasons.
 var mergeKinds = map[Field]mergeKind{
-	FieldTries:      minimum,
-	FieldKeyedAgain: minimum,
-	FieldRetryOn:    intersection,
-	FieldTimeout:    minimum,
-	FieldNeeds:      maximum,
-	FieldRetryRatio: minimum,
-	FieldPriority:   maximum,
-	FieldAllow:      intersection,
-	FieldDeny:       union,
-	FieldNeed:       union,
+	FieldTries:           minimum,
+	FieldKeyedAgain:      minimum,
+	FieldRetryOn:         intersection,
+	FieldTimeout:         minimum,
+	FieldNeededTime:      maximum,
+	FieldRetryRatio:      minimum,
+	FieldPriority:        maximum,
+	FieldAllowedCallers:  intersection,
+	FieldDeniedCallers:   union,
+	FieldRequiredCallers: union,
 }
 
 // Role is the relation of a policy's namespace to a request by which the policy applies. The values are stored and shown to operators.
--- a/internal/mesh/policy/clauses.go
+++ b/internal/mesh/policy/clauses.go
@@ -100,7 +100,7 @@
 
 // denies reports whether the clause lists a caller as denied, or allowed callers without it.
 func (c Clause) denies(caller string) bool {
-	return c.Field == FieldDeny && slices.Contains(c.Values, caller) || c.Field == FieldAllow && !slices.Contains(c.Values, caller)
+	return c.Field == FieldDeniedCallers && slices.Contains(c.Values, caller) || c.Field == FieldAllowedCallers && !slices.Contains(c.Values, caller)
 }
 
 // fingerprintBytes is how many bytes of a SHA-256 sum a fingerprint consists of.
--- a/internal/mesh/policy/conflict.go
+++ b/internal/mesh/policy/conflict.go
@@ -66,7 +66,7 @@
 // namedCallers returns the callers that clauses allow or require by name.
 func (l Clauses) namedCallers() (callers []string) {
 	for _, c := range l {
-		if c.Field == FieldAllow || c.Field == FieldNeed {
+		if c.Field == FieldAllowedCallers || c.Field == FieldRequiredCallers {
 			callers = append(callers, c.Values...)
 		}
 	}
@@ -87,20 +87,20 @@
 
 // firstConflict returns the first two clauses of a merged policy that contradict each other, or nil if none do.
 func (l Clauses) firstConflict() *Conflict {
-	needs, needed := l.Effective(FieldNeeds)
+	needs, needed := l.Effective(FieldNeededTime)
 	limit, limited := l.Effective(FieldTimeout)
 	if needed && limited && needs.Number > limit.Number {
 		return &Conflict{A: needs.Clause, B: limit.Clause, Text: "less time than it needs"}
 	}
-	var allowed []string // callers that all FieldAllow clauses so far allow
+	var allowed []string // callers that all FieldAllowedCallers clauses so far allow
 	var lastAllow *Clause
 	for i, c := range l {
-		if c.Field == FieldNeed {
+		if c.Field == FieldRequiredCallers {
 			if conflict := l.requiredCallerDenied(c); conflict != nil {
 				return conflict
 			}
 		}
-		if c.Field != FieldAllow {
+		if c.Field != FieldAllowedCallers {
 			continue
 		}
 		if lastAllow == nil {
@@ -124,8 +124,10 @@
 		if !denied {
 			continue
 		}
-		i := slices.IndexFunc(l, func(c Clause) bool { return c.Source == source && (c.Field == FieldDeny || c.Field == FieldAllow) })
-		required := Clause{Field: FieldNeed, Values: []string{caller}, Source: need.Source}
+		i := slices.IndexFunc(l, func(c Clause) bool {
+			return c.Source == source && (c.Field == FieldDeniedCallers || c.Field == FieldAllowedCallers)
+		})
+		required := Clause{Field: FieldRequiredCallers, Values: []string{caller}, Source: need.Source}
 		return &Conflict{A: required, B: l[i], Text: "a caller that must be let in is not"}
 	}
 	return nil
--- a/internal/mesh/policy/effect.go
+++ b/internal/mesh/policy/effect.go
@@ -61,8 +61,8 @@
 // affectedOwners returns the owners of a route, of the service, and of the callers that the change newly denies.
 func (s *Set) affectedOwners(route Route, service string, f Field, before, after Clauses) []string {
 	owners := []string{s.OwnerOfRoute(route), s.OwnerOfService(service)}
-	if f == FieldAllow || f == FieldDeny {
-		for _, caller := range slices.Concat(before.effectiveValues(FieldAllow), after.effectiveValues(FieldDeny)) {
+	if f == FieldAllowedCallers || f == FieldDeniedCallers {
+		for _, caller := range slices.Concat(before.effectiveValues(FieldAllowedCallers), after.effectiveValues(FieldDeniedCallers)) {
 			_, wasDenied := before.DeniedBy(caller)
 			if _, denied := after.DeniedBy(caller); denied && !wasDenied {
 				owners = append(owners, s.OwnerOfService(caller))
@@ -94,7 +94,7 @@
 		return e, false
 	}
 	switch {
-	case f == FieldNeeds || f == FieldNeed: // a requirement does not limit requests, so changing it loosens nothing
+	case f == FieldNeededTime || f == FieldRequiredCallers: // a requirement does not limit requests, so changing it loosens nothing
 	case !existed:
 	case !exists:
 		e.Loosens = true
--- a/internal/mesh/policy/encoding_test.go
+++ b/internal/mesh/policy/encoding_test.go
@@ -23,7 +23,7 @@
 	const sourceText = `{"namespace":"quota","item":"ruling calm","version":4,"role":"service"}`
 	effective := EffectiveClause{
 		Clause:     Clause{Field: FieldTimeout, Number: 1.5, Source: source},
-		Overridden: []Clause{{Field: FieldAllow, Values: []string{"a"}, Source: source}},
+		Overridden: []Clause{{Field: FieldAllowedCallers, Values: []string{"a"}, Source: source}},
 	}
 	const effectiveText = `{"field":"TimeoutS","num":1.5,"from":` + sourceText +
 		`,"over":[{"field":"Callers.Allow","set":["a"],"from":` + sourceText + `}]}`
--- a/internal/mesh/policy/policy.go
+++ b/internal/mesh/policy/policy.go
@@ -101,7 +101,7 @@
 		addNumber(FieldTimeout, p.TimeoutS)
 	}
 	if p.NeedsS > 0 {
-		addNumber(FieldNeeds, p.NeedsS)
+		addNumber(FieldNeededTime, p.NeedsS)
 	}
 	if p.RetryRatio != nil {
 		addNumber(FieldRetryRatio, *p.RetryRatio)
@@ -113,13 +113,13 @@
 		return clauses
 	}
 	if p.Callers.Allow != nil {
-		addValues(FieldAllow, p.Callers.Allow)
+		addValues(FieldAllowedCallers, p.Callers.Allow)
 	}
 	if len(p.Callers.Deny) > 0 {
-		addValues(FieldDeny, p.Callers.Deny)
+		addValues(FieldDeniedCallers, p.Callers.Deny)
 	}
 	if len(p.Callers.Need) > 0 {
-		addValues(FieldNeed, p.Callers.Need)
+		addValues(FieldRequiredCallers, p.Callers.Need)
 	}
 	return clauses
 }
--- a/internal/mesh/policy/rollout.go
+++ b/internal/mesh/policy/rollout.go
@@ -69,9 +69,9 @@
 
 // SidecarReport is the latest report of a sidecar to the leader.
 type SidecarReport struct {
-	Name     string
-	Received string // fingerprint of the set that it has received
-	Silent   bool   // the sidecar did not answer
+	Name         string
+	Received     string // fingerprint of the set that it has received
+	Unresponsive bool   // the sidecar did not answer
 }
 
 // CanActivate reports whether the agreed set may be activated, and otherwise what that waits for: each sidecar must
@@ -83,7 +83,7 @@
 	}
 	var notReceived []string
 	for _, report := range reports {
-		if report.Silent || report.Received != r.Agreed {
+		if report.Unresponsive || report.Received != r.Agreed {
 			notReceived = append(notReceived, report.Name)
 		}
 	}
--- a/internal/mesh/policy/rollout_test.go
+++ b/internal/mesh/policy/rollout_test.go
@@ -158,8 +158,8 @@
 	return m, true
 }
 
-// activate activates the agreed set. The leader of the model knows what each sidecar has received. One that misses reports only
-// waits longer, so the search does not need them.
+// activate activates the agreed set. The leader of the model knows what each sidecar has received. A leader that misses some
+// reports only waits longer, so the search leaves that out.
 func (m rolloutModel) activate(mutated mutation) (rolloutModel, bool) {
 	var reports []SidecarReport
 	for _, s := range m.sidecars {
--- a/internal/mesh/policy/set_test.go
+++ b/internal/mesh/policy/set_test.go
@@ -53,7 +53,7 @@
 	}{
 		{"another team's service", "send", "book", "", map[Field]string{
 			FieldTries: "1 ruling shelter", FieldTimeout: "1.5 ruling patience", FieldRetryOn: "refused ruling shelter",
-			FieldPriority: "1 route send", FieldKeyedAgain: "false ruling later", FieldAllow: "quota, send ruling shelter",
+			FieldPriority: "1 route send", FieldKeyedAgain: "false ruling later", FieldAllowedCallers: "quota, send ruling shelter",
 			FieldRetryRatio: "0 ruling all",
 		}},
 		{"the team's own service", "send", "send", "", map[Field]string{
@@ -64,7 +64,7 @@
 		}},
 		{"the caller's team", "tokens", "book", "send", map[Field]string{FieldTimeout: "1.5 ruling patience"}},
 		{"a namespace nested in devicebook", "quota", "quota", "", map[Field]string{
-			FieldTries: "1 ruling shelter", FieldTimeout: "1 route quota", FieldAllow: "quota, send ruling shelter",
+			FieldTries: "1 ruling shelter", FieldTimeout: "1 route quota", FieldAllowedCallers: "quota, send ruling shelter",
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
