--- a/internal/mesh/maintenance/plan_test.go
+++ b/internal/mesh/maintenance/plan_test.go
@@ -168,11 +168,11 @@
 	window := c.Weekly[0]
 	from, _ := parseTimeOfDay(window.From)
 	to, _ := parseTimeOfDay(window.To)
-	for instant := approved.From; !instant.After(approved.To); instant = instant.Add(30 * time.Second) {
-		local := instant.In(zone)
+	for moment := approved.From; !moment.After(approved.To); moment = moment.Add(30 * time.Second) {
+		local := moment.In(zone)
 		minute := local.Hour()*60 + local.Minute()
 		if !strings.Contains("Mon Wed Sun", local.Format("Mon")) || minute < from || minute > to || minute == to && local.Second() > 0 {
-			t.Fatalf("approved at %v, local time %v, by %s", instant, local, c.Name)
+			t.Fatalf("approved at %v, local time %v, by %s", moment, local, c.Name)
 		}
 		if day := local.Format(dayLayout); len(c.Barred) > 0 && day >= "2026-10-04" && day <= "2026-10-05" {
 			t.Fatalf("approved on a barred day, %v", local)
--- a/internal/mesh/policy/change_test.go
+++ b/internal/mesh/policy/change_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A change that only tightens is accepted. Its effects are reported to the owners concerned, including those of newly denied
-// callers.
+// A change that only tightens others' policies, or has consent, is accepted. Its effects name the owners concerned, including
+// those of newly denied callers.
 func TestEvaluateReportsEffects(t *testing.T) {
 	shelter := basePolicies()[0]
 	shelter.ConfigVersion, shelter.TimeoutS = 2, 4
--- a/internal/mesh/policy/namespace.go
+++ b/internal/mesh/policy/namespace.go
@@ -14,7 +14,8 @@
 	Name          string   `json:"Name" validate:"required,max=128"`
 	ConfigVersion int64    `json:"ConfigVersion"`
 	Owners        []string `json:"Owners" validate:"min=1,max=64,dive,required,max=128"` // who may set its policies and routes
-	// Within is the namespace that this one is nested in, and whose policies apply here too. It is empty if there is none.
+	// Within is the namespace that this one is nested in: it has delegated a part of what it owns, and its policies apply here too. It is
+	// empty if there is none.
 	Within   string       `json:"Within,omitempty" validate:"max=128"`
 	Services []string     `json:"Services,omitempty" validate:"max=1024,dive,required,max=512"`
 	Hosts    []string     `json:"Hosts,omitempty" validate:"max=1024,dive,required,max=512"`
