--- a/internal/mesh/raft/election.go
+++ b/internal/mesh/raft/election.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// campaignKind is why and how a member asks for votes.
+// campaignKind is the kind of election that a member starts.
 type campaignKind uint8
 
 const (
-	campaignPreElection campaignKind = iota // asks first whether it would be elected (dissertation, section 9.6)
-	campaignElection
-	campaignTransfer // the leader asked for it (dissertation, section 3.10)
+	campaignPreVote  campaignKind = iota // asks for pre-votes, and for votes once a quorum grants them (dissertation, section 9.6)
+	campaignElection                     // asks for votes
+	campaignTransfer                     // asks for votes because the leader transfers leadership (dissertation, section 3.10)
 )
 
-// campaign asks all voters for their pre-votes or votes. The requests are sent after the save, since this member's vote for itself, which
-// they rely on, only counts once it is on disk.
+// campaign asks all voters for their pre-votes or votes. The requests are sent after the next save: a candidate's vote for itself has to be
+// on disk before other members vote for it.
 func (r *Raft) campaign(kind campaignKind) {
 	term := r.term + 1
 	request := Message{Kind: RequestVote, Term: term}
-	if kind == campaignPreElection {
+	if kind == campaignPreVote {
 		request.Kind = PreVote
 		r.changeRole(preCandidate, r.term, 0)
 	} else {
@@ -43,8 +43,8 @@
 	r.countVotes()
 }
 
-// countVotes turns a pre-candidate into a candidate, or a candidate into the leader, once a quorum has voted for it. Two quorums share a
-// member, which votes once in a term, so a term has at most one leader (Raft paper, section 5.2: Election Safety).
+// countVotes makes a pre-candidate a candidate, or a candidate the leader, once a quorum has voted for it. Any two quorums share a member,
+// which votes once in a term, so a term has at most one leader (Raft paper, section 5.2: Election Safety).
 func (r *Raft) countVotes() {
 	if !r.log.configuration.hasQuorum(func(id ID) bool { return r.votes[id] }) {
 		return
@@ -56,8 +56,9 @@
 	r.becomeLeader()
 }
 
-// becomeLeader appends an entry of the leader's own term: entries of earlier terms are only committed by committing a later one of its
-// term (Raft paper, section 5.4.2), and until then the leader does not know what is committed (section 8).
+// becomeLeader makes this member the leader and appends a no-op entry of its own term. Entries of earlier terms are only committed together
+// with a later entry of the leader's term (Raft paper, section 5.4.2), and until then the leader does not know what is committed
+// (section 8).
 func (r *Raft) becomeLeader() {
 	r.changeRole(leader, r.term, r.config.Self.ID)
 	r.peers = nil
@@ -68,24 +69,24 @@
 	r.broadcastHeartbeat()
 }
 
-// hearsLeader reports whether this member leads, or has heard from the leader in the last election timeout.
-func (r *Raft) hearsLeader() bool {
-	return r.role == leader || r.leaderID != 0 && r.now-r.followed.heardAt < r.config.ElectionTimeout
+// hasActiveLeader reports whether this member leads, or has heard from its leader within the last election timeout.
+func (r *Raft) hasActiveLeader() bool {
+	return r.role == leader || r.leaderID != 0 && r.now-r.leaderContact.lastContactAt < r.config.ElectionTimeout
 }
 
-// isUpToDate reports whether the log of a member that asks for votes is at least as up to date as this one's. Because voters check that,
-// no member that lacks a committed entry gets the votes of a majority (Raft paper, section 5.4.1).
+// isUpToDate reports whether the log of the sender of a pre-vote or vote request is at least as up to date as this member's log. Because
+// voters check this, no member that lacks a committed entry gets the votes of a majority (Raft paper, section 5.4.1).
 func (r *Raft) isUpToDate(request Message) bool {
 	return r.log.isUpToDate(position{request.Index, request.LogTerm})
 }
 
-// handlePreVote answers a pre-vote. The sender may have become a member by entries that are not in this log yet. So an unknown sender whose
-// log is up to date is answered like a voter: it knows itself whose votes it needs.
+// handlePreVote answers a request for a pre-vote. The sender may have become a voter by an entry that has not reached this member's log.
+// Therefore an unknown sender with an up-to-date log is answered like a voter: it decides by its own configuration whose votes it needs.
 func (r *Raft) handlePreVote(m Message) {
 	if m.From == r.leaderID && m.Term > r.term {
-		r.leaderID = 0 // the leader asks for votes, so it has restarted and no longer leads
+		r.leaderID = 0 // the leader asks for pre-votes, so it has restarted and no longer leads
 	}
-	granted := m.Term > r.term && !r.hearsLeader() && r.isUpToDate(m)
+	granted := m.Term > r.term && !r.hasActiveLeader() && r.isUpToDate(m)
 	if !granted && !r.log.configuration.isVoter(m.From) {
 		r.sendNotMember(m)
 		return
@@ -96,22 +97,22 @@
 	}
 	r.sendAfterSave(Message{Kind: PreVoteResponse, To: m.From, Term: term, Reject: !granted})
 	if !granted {
-		r.preVoteInstead(m)
+		r.preVoteAfterRejecting(m)
 	}
 }
 
-// preVoteInstead starts a pre-vote of this member at once after it rejected another's only because the other lacks entries. Neither hears
-// a leader, and the other can't be elected, so there is no reason to wait for this member's own deadline.
-func (r *Raft) preVoteInstead(refused Message) {
-	isBehind := refused.Term > r.term && !r.isUpToDate(refused)
-	if isBehind && !r.hearsLeader() && r.role != candidate && !r.IsNonMember() {
-		r.campaign(campaignPreElection)
+// preVoteAfterRejecting starts a pre-vote of this member at once if it rejected a pre-vote only because the sender lacks entries. Neither
+// member has a leader, and the sender can't be elected, so there is no reason to wait for this member's own election deadline.
+func (r *Raft) preVoteAfterRejecting(rejected Message) {
+	isBehind := rejected.Term > r.term && !r.isUpToDate(rejected)
+	if isBehind && !r.hasActiveLeader() && r.role != candidate && !r.IsNonMember() {
+		r.campaign(campaignPreVote)
 	}
 }
 
-// handlePreVoteResponse counts a granted pre-vote. A granted one carries the term that was asked for, this member's next one; a
-// rejected one carries the term of its sender, which this member adopts if it is later, so that its next request is not rejected for
-// its term.
+// handlePreVoteResponse counts a granted pre-vote. A granted response carries the requested term, which is this member's next one. A
+// rejected response carries the sender's term, which this member adopts if it is later, so that its next request is not rejected for its
+// term.
 func (r *Raft) handlePreVoteResponse(m Message) {
 	if r.role == preCandidate && m.Term == r.term+1 && !m.Reject {
 		r.votes[m.From] = true
@@ -121,11 +122,11 @@
 	}
 }
 
-// isDisruptive reports whether a RequestVote of a later term has to be ignored, because its sender can't hear the leader that this member
-// hears, or was removed from the configuration (dissertation, section 4.2.3). An unknown sender with an up-to-date log may be a new voter
-// whose configuration entry has not come here yet, so it is heeded.
+// isDisruptive reports whether a RequestVote of a later term has to be ignored: because this member is in contact with a leader, which the
+// sender is not, or because the sender was removed from the configuration (dissertation, section 4.2.3). A request from an unknown sender
+// with an up-to-date log is not ignored: it may be a new voter whose configuration entry has not reached this member.
 func (r *Raft) isDisruptive(m Message) bool {
-	return r.hearsLeader() && m.Hint != leadershipTransferHint ||
+	return r.hasActiveLeader() && m.Hint != leadershipTransferHint ||
 		!r.log.configuration.isVoter(m.From) && !r.isUpToDate(m)
 }
 
@@ -140,8 +141,8 @@
 	r.sendAfterSave(Message{Kind: VoteResponse, To: m.From, Term: r.term, Reject: !granted})
 }
 
-// handleVoteResponse counts a granted vote. It is one of this term: Step has dropped those of earlier terms, and one of a later term has
-// made this member a follower.
+// handleVoteResponse counts a granted vote. The vote is of the current term: Step has dropped responses of earlier terms, and a response of
+// a later term has made this member a follower.
 func (r *Raft) handleVoteResponse(m Message) {
 	if r.role == candidate && !m.Reject {
 		r.votes[m.From] = true
@@ -156,7 +157,7 @@
 	}
 }
 
-// resetElectionDeadline sets when this member campaigns next if it hears no leader until then.
+// resetElectionDeadline sets when this member campaigns next, unless it hears from a leader before.
 func (r *Raft) resetElectionDeadline() {
 	switch r.role {
 	case follower:
@@ -169,18 +170,18 @@
 	}
 }
 
-// electionDelay returns how much longer than the election timeout this member waits before it campaigns. Members wait by their rank, and
-// the random part is too small for two of them to campaign at the same time. With Raft's purely random timeouts (Raft paper, section
-// 5.2) votes are split more often.
+// electionDelay returns how much longer than the election timeout this follower waits before it campaigns. The delay grows with the
+// member's rank, and its random part is too small for members of different ranks to campaign at the same time. With Raft's purely random
+// timeouts (Raft paper, section 5.2) votes are split more often.
 func (r *Raft) electionDelay() time.Duration {
 	jitter := r.randomBelow(r.config.campaignJitter())
 	return r.config.campaignRankDelay(r.voterRank(r.leaderID)) + jitter
 }
 
-// ReportLeaderExited reports that the process of a member has ended, by better evidence than silence: its host is reachable and refuses
-// connections at its address. If that member is the leader that this one follows, isLeader is true, and the caller has to call Tick
-// after wait, so that the rest of the election timeout is skipped. Wrong evidence does no harm: a member asks for pre-votes first, and
-// follows a leader that is alive again with its next heartbeat.
+// ReportLeaderExited tells this member that the process of another member has ended. The caller needs better evidence than silence: the
+// host is reachable and refuses connections at the member's address. If the exited member is the leader that this one follows, isLeader is
+// true and the caller has to call Tick after wait, which skips the rest of the election timeout. A wrong report does no harm: this member
+// asks for pre-votes first, and follows a leader that is still alive again as soon as its next heartbeat arrives.
 func (r *Raft) ReportLeaderExited(now time.Duration, id ID) (wait time.Duration, isLeader bool) {
 	r.advanceTime(now)
 	if r.role != follower || r.leaderID != id || id == r.config.Self.ID || r.IsNonMember() {
@@ -192,14 +193,14 @@
 	return wait, true
 }
 
-// voterRank returns this member's position, from 0, among the voters other than one, in the order of their IDs.
-func (r *Raft) voterRank(without ID) int {
+// voterRank returns this member's position, from 0, among the voters sorted by ID, without the excluded voter.
+func (r *Raft) voterRank(excluded ID) int {
 	rank := 0
 	for _, voter := range r.sortedVoters() {
 		switch voter.ID {
 		case r.config.Self.ID:
 			return rank
-		case without:
+		case excluded:
 		default:
 			rank++
 		}
@@ -207,7 +208,7 @@
 	return rank
 }
 
-// sortedVoters returns the voters in the order of their IDs, which is the same on all members.
+// sortedVoters returns the voters sorted by ID, so that all members get the same order.
 func (r *Raft) sortedVoters() []Member {
 	return slices.SortedFunc(slices.Values(r.log.configuration.voters()), func(a, b Member) int {
 		return cmp.Compare(a.ID, b.ID)
--- a/internal/mesh/raft/follower.go
+++ b/internal/mesh/raft/follower.go
@@ -8,19 +8,19 @@
 	}
 	isNew := r.leaderID != m.From
 	r.leaderID = m.From
-	r.followed.heardAt = r.now
-	r.followed.protocolVersion = m.ProtocolVersion
+	r.leaderContact.lastContactAt = r.now
+	r.leaderContact.protocolVersion = m.ProtocolVersion
 	r.resetElectionDeadline()
 	if isNew && r.leave.requested {
-		r.leave.requestedAt = 0 // the new leader does not know yet that this member leaves
+		r.leave.requestedAt = 0 // the new leader does not know yet that this member is leaving
 		r.advanceLeave()
 	}
 }
 
-// recordCatchUp records that this member has committed all that the leader had committed when it sent a message, if that is so.
+// recordCatchUp records the time if this member has committed all that the leader had committed when it sent the message.
 func (r *Raft) recordCatchUp(m Message) {
 	if r.log.committed >= m.Commit {
-		r.followed.caughtUpAt = r.now
+		r.leaderContact.caughtUpAt = r.now
 	}
 }
 
@@ -30,8 +30,8 @@
 func (r *Raft) handleAppendEntries(m Message) {
 	reply := Message{Kind: AppendResponse, To: m.From, Term: r.term, HeartbeatRound: m.HeartbeatRound}
 	if snapshot := r.log.snapshot; m.Index < snapshot.Index {
-		// What the snapshot covers is committed, so it agrees with the log of every later leader (Raft paper, section 5.4: Leader
-		// Completeness). Only the entries after it have to be compared.
+		// The entries that the snapshot covers are committed, so the log of every later leader contains them (Raft paper, section 5.4:
+		// Leader Completeness). Only the entries after the snapshot have to be compared.
 		m.Entries = m.Entries[min(snapshot.Index-m.Index, uint64(len(m.Entries))):]
 		m.Index, m.LogTerm = snapshot.Index, snapshot.Term
 		if len(m.Entries) == 0 {
@@ -41,18 +41,19 @@
 			return
 		}
 	}
-	if term, known := r.log.termAt(m.Index); !known || term != m.LogTerm {
+	if term, found := r.log.termAt(m.Index); !found || term != m.LogTerm {
 		reply.Reject, reply.Hint = true, r.log.rejectHint(m.Index)
 		r.sendAfterSave(reply)
 		return
 	}
 	r.log.merge(m.Entries)
 	if !r.IsNonMember() {
-		r.join.toldNonMemberAt = 0
-		r.join.contacts = nil
+		r.join.notMemberNoticeAt = 0
+		r.join.noticeVoters = nil
 	}
 	reply.Index = m.Index + uint64(len(m.Entries))
-	// The leader may have committed entries after those that were compared here, so the commit index stops at these (section 5.3).
+	// The leader may have committed further entries, which were not compared here, so the commit index advances at most to the last compared
+	// one (Raft paper, section 5.3).
 	r.log.committed = max(r.log.committed, min(m.Commit, reply.Index))
 	r.recordCatchUp(m)
 	r.sendAfterSave(reply)
--- a/internal/mesh/raft/join.go
+++ b/internal/mesh/raft/join.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// A non-member asks the leader to join. From then on it is a learner, until admitLearner makes it a voter. Members answer a non-member with
-// the voters that they know, so that a removed member learns of its removal although it is not sent the log any more.
+// A non-member asks the leader to let it join. It is a learner from then on, until admitLearner makes it a voter. Other members answer the
+// request with the voters that they know, so that a removed member learns of its removal although the log is no longer replicated to it.
 
 // maxLearners is how many learners a leader replicates to at once.
 const maxLearners = 16
 
-// joinState is the state of a member that has to join.
+// joinState is the state of a member with respect to joining the cluster.
 type joinState struct {
-	// toldNonMemberAt is when a member that knows a later configuration last said that this one is no voter, or 0 if none has.
-	toldNonMemberAt time.Duration
-	contacts        []Member      // the voters that it named, which are only used to ask them to join
-	requestedAt     time.Duration // when this member last asked to join, or 0 if it never has
+	// notMemberNoticeAt is when this member last received a NotMember message with a later configuration than its own, or 0 if it never has.
+	notMemberNoticeAt time.Duration
+	noticeVoters      []Member      // the voters listed in that message; used only as receivers of JoinRequest
+	requestedAt       time.Duration // when this member last sent JoinRequest, or 0 if it never has
 }
 
-// mustJoin reports whether this member has to ask to join: it is not a voter according to its own log, or to what others have lately said.
-func (r *Raft) mustJoin() bool { return r.IsNonMember() || r.wasToldNonMember() }
+// mustJoin reports whether this member has to ask to join: it is not a voter according to its own log or to a recent NotMember message.
+func (r *Raft) mustJoin() bool { return r.IsNonMember() || r.hasNotMemberNotice() }
 
-// wasToldNonMember reports whether a member that knows a later configuration has lately said that this one is not a voter.
-func (r *Raft) wasToldNonMember() bool {
-	return r.join.toldNonMemberAt > 0 && r.now-r.join.toldNonMemberAt < r.config.notMemberSpan()
+// hasNotMemberNotice reports whether this member has recently received a NotMember message with a later configuration than its own.
+func (r *Raft) hasNotMemberNotice() bool {
+	return r.join.notMemberNoticeAt > 0 && r.now-r.join.notMemberNoticeAt < r.config.notMemberNoticeTimeout()
 }
 
-// handleNotMember handles the notice of a member that knows a later configuration. The notice only names the members to ask: the
-// configuration that this member counts votes by stays that of its log, since only what is in the log is known to be agreed upon (Raft
-// paper, section 6).
+// handleNotMember records a NotMember message if its configuration is later than this member's. The voters in the message are only asked to
+// let this member join. For counting votes, this member keeps using the configuration of its log (Raft paper, section 6).
 func (r *Raft) handleNotMember(m Message) {
 	if m.ConfigurationIndex > r.log.configuration.Index {
-		r.join.toldNonMemberAt = max(r.now, 1)
-		r.join.contacts = m.Members
+		r.join.notMemberNoticeAt = max(r.now, 1)
+		r.join.noticeVoters = m.Members
 	}
 }
 
-// sendNotMember sends the voters to the sender of a message, unless it is a voter according to this member's log.
+// sendNotMember sends NotMember with the current voters to the sender of a message, unless the sender is a voter according to this
+// member's log.
 func (r *Raft) sendNotMember(m Message) {
 	configuration := r.log.configuration
 	if configuration.isVoter(m.From) {
@@ -50,24 +50,24 @@
 	})
 }
 
-// requestJoin asks all known members to let this one join. The owner of this Raft asks those of whom it only knows the address.
+// requestJoin sends JoinRequest to all known voters. The caller of this package sends it to members of which only the address is known.
 func (r *Raft) requestJoin() {
-	hasJustAsked := r.join.requestedAt > 0 && r.now-r.join.requestedAt < r.config.joinRequestInterval()
-	isFollowing := r.now-r.followed.heardAt < r.config.leaderContactSpan() && !r.IsNonMember()
-	if hasJustAsked || isFollowing {
+	hasRequestedLately := r.join.requestedAt > 0 && r.now-r.join.requestedAt < r.config.joinRequestInterval()
+	isFollowing := r.now-r.leaderContact.lastContactAt < r.config.leaderContactTimeout() && !r.IsNonMember()
+	if hasRequestedLately || isFollowing {
 		return
 	}
 	r.join.requestedAt = max(r.now, 1)
-	known := Configuration{Members: r.log.configuration.voters(), Outgoing: r.join.contacts}
-	for _, member := range known.voters() {
+	receivers := Configuration{Members: r.log.configuration.voters(), Outgoing: r.join.noticeVoters}
+	for _, member := range receivers.voters() {
 		if member.ID != r.config.Self.ID {
 			r.sendAfterSave(Message{Kind: JoinRequest, To: member.ID, Addr: r.config.Self.Addr})
 		}
 	}
 }
 
-// handleJoinRequest makes the sender a learner, which the leader replicates to from now on. Other members answer with the voters. A learner
-// counts for nothing, so any sender may become one; the leader decides in admitLearner whether it becomes a voter.
+// handleJoinRequest makes the sender a learner, to which the leader replicates from now on. A member that does not lead answers with
+// NotMember. A learner counts towards no majority, so any sender may become one; admitLearner decides whether it becomes a voter.
 func (r *Raft) handleJoinRequest(m Message) {
 	if r.role != leader {
 		r.sendNotMember(m)
--- a/internal/mesh/raft/leave.go
+++ b/internal/mesh/raft/leave.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// A planned departure is the stop of a member's process that was announced: it comes back later with its disk, or not at all. Raft allows a
-// member to stop at any moment, but until it is back the loss of one more disk could lose the last copy of an acknowledged entry. So
-// the member sends LeaveRequest to the leader until the leader answers LeaveGranted: everything committed is then on the disks of a
-// majority of the members that stay, and whatever the member acknowledges later does not count. A leader that is to stop transfers
-// leadership first, and then leaves as a follower. The caller decides how long to wait at most.
+// A planned departure is an announced stop of a member's process. The process may start again later with its disk, or never. Raft allows a
+// member to stop at any moment, but while it is down the loss of one more disk could lose the last copy of an acknowledged entry.
+// Therefore the member sends LeaveRequest to the leader until the leader answers LeaveGranted. At that point everything committed is on
+// the disks of a majority of the remaining members, and the leader ignores whatever the member acknowledges later. A leader that has to
+// stop transfers leadership first and then leaves as a follower. The caller decides how long to wait for the permission.
 
-// leaveState is the state of a member's own planned departure.
+// leaveState is the state of this member's planned departure.
 type leaveState struct {
 	requested   bool          // BeginLeave was called
 	granted     bool          // the leader has answered LeaveGranted
 	requestedAt time.Duration // when this member last sent LeaveRequest or transferred leadership, or 0 if it never has
 }
 
-// BeginLeave begins a planned departure. The member goes on as before until MayLeave.
+// BeginLeave begins a planned departure. The member keeps running as before until MayLeave returns true.
 func (r *Raft) BeginLeave(now time.Duration) {
 	r.advanceTime(now)
 	r.leave.requested = true
 	r.advanceLeave()
 }
 
-// MayLeave reports whether the process of a member that leaves may stop: everything that it holds is on the disks of a majority of the
-// members that stay. It is also true where there is nothing to wait for, because the member is not a voter, all others leave as well,
-// or the leader's protocol version has no planned departures.
+// MayLeave reports whether the process of a leaving member may stop: everything committed is on the disks of a majority of the remaining
+// members. It is also true if there is nothing to wait for, because the member is not a voter, is the only voter, all other voters leave
+// as well, or the leader's protocol version does not support planned departures.
 func (r *Raft) MayLeave() bool {
 	if !r.leave.requested {
 		return false
@@ -43,7 +43,7 @@
 	case r.role == leader && r.areAllVotersLeaving():
 		return true
 	}
-	return r.role == follower && r.leaderID != 0 && r.followed.protocolVersion < versionWithLeave
+	return r.role == follower && r.leaderID != 0 && r.leaderContact.protocolVersion < versionWithLeave
 }
 
 // advanceLeave sends LeaveRequest to the leader, or transfers leadership if this member leads.
@@ -53,7 +53,7 @@
 	}
 	switch {
 	case r.role == leader && r.log.configuration.Index > r.log.committed:
-		// A member that took over now might not know of the configuration change.
+		// A new leader might not have the entry of the configuration change, so leadership is not transferred yet.
 	case r.role == leader && r.isReplacementReady(r.config.Self.ID):
 		r.maintainMembership() // leadership is transferred once this member is replaced
 	case r.role == leader:
@@ -61,55 +61,55 @@
 			r.leave.requestedAt = max(r.now, 1)
 			r.TransferLeadership(r.now)
 		}
-	case r.role == follower && r.leaderID != 0 && r.followed.protocolVersion >= versionWithLeave:
+	case r.role == follower && r.leaderID != 0 && r.leaderContact.protocolVersion >= versionWithLeave:
 		r.leave.requestedAt = max(r.now, 1)
 		r.sendAfterSave(Message{Kind: LeaveRequest, To: r.leaderID, Term: r.term})
 	}
 }
 
-// isTransferringLeadership reports whether a leader that leaves has lately sent TimeoutNow. Entries that it appended now would probably be
-// lost.
+// isTransferringLeadership reports whether a leaving leader has recently sent TimeoutNow. Entries appended during the transfer would
+// probably be lost.
 func (r *Raft) isTransferringLeadership() bool {
 	return r.leave.requested && r.role == leader &&
-		r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.transferSpan()
+		r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.leadershipTransferTimeout()
 }
 
-// areAllVotersLeaving reports whether all voters leave, as far as the leader knows, so that there is nobody to wait for.
+// areAllVotersLeaving reports whether all voters are leaving, as far as the leader knows, so that no member remains to be waited for.
 func (r *Raft) areAllVotersLeaving() bool {
 	return !slices.ContainsFunc(r.log.configuration.voters(), func(member Member) bool {
 		if member.ID == r.config.Self.ID {
 			return !r.leave.requested
 		}
 		p := r.peers.get(member.ID)
-		return p != nil && !p.leaveGranted && !p.isLeavingSince(r.now-r.config.leaveRequestSpan())
+		return p != nil && !p.leaveGranted && !p.isLeavingSince(r.now-r.config.leaveRequestTimeout())
 	})
 }
 
-// handleLeaveRequest records that a member leaves.
+// handleLeaveRequest records that the sender is leaving, and grants leave if possible.
 func (r *Raft) handleLeaveRequest(m Message) {
 	p := r.peers.get(m.From)
 	if r.role != leader || p == nil {
 		return
 	}
 	p.recordContact(r.now, m)
-	if !p.isLeavingSince(r.now - r.config.leaveRequestSpan()) {
-		r.broadcastHeartbeat() // a member that answers this round still has its disk
+	if !p.isLeavingSince(r.now - r.config.leaveRequestTimeout()) {
+		r.broadcastHeartbeat() // an answer to this round proves that its sender still has its disk
 		p.leaveRound = r.leading.heartbeatRound
 	}
-	p.leavingAt = max(r.now, 1)
+	p.lastLeaveRequestAt = max(r.now, 1)
 	if p.leaveGranted {
-		r.sendLeaveGranted(p) // the first one was lost
+		r.sendLeaveGranted(p) // the earlier LeaveGranted was lost
 	}
 	r.grantLeaves()
 }
 
-// handleLeaveGranted records the leader's permission, which is not withdrawn: from now on nothing depends on this member's disk.
+// handleLeaveGranted records the leader's permission, which is never withdrawn: no committed entry depends on this member's disk any more.
 func (r *Raft) handleLeaveGranted(m Message) {
 	r.leave.granted = r.leave.granted || r.leave.requested && m.From == r.leaderID
 }
 
-// grantLeaves answers the members that leave, once nothing depends on them. From then on nothing that they acknowledge counts, and neither
-// does what they have acknowledged beyond the commit index, since nobody has checked that others hold it.
+// grantLeaves sends LeaveGranted to leaving members once nothing depends on them. Whatever they acknowledge afterwards is ignored. Entries
+// that they have acknowledged beyond the commit index are ignored too, since it was not checked that other members have them.
 func (r *Raft) grantLeaves() {
 	if r.role != leader || !r.hasCommittedOwnTerm() {
 		return
@@ -122,30 +122,29 @@
 	}
 }
 
-// mayGrantLeave reports whether nothing depends on a member that leaves: neither a committed entry nor a configuration change.
+// mayGrantLeave reports whether neither a committed entry nor a configuration change depends on a leaving member.
 func (r *Raft) mayGrantLeave(p *progress) bool {
 	return r.log.isConfigurationCommitted() && !r.isReplacementReady(p.ID) && r.isCommittedWithout(p)
 }
 
-// isLeavingSince reports whether a member has sent LeaveRequest since an instant, and was not granted leave yet.
+// isLeavingSince reports whether a member has sent LeaveRequest after an instant and was not granted leave yet.
 func (p *progress) isLeavingSince(since time.Duration) bool {
-	return p.leavingAt > 0 && p.leavingAt > since && !p.leaveGranted
+	return p.lastLeaveRequestAt > 0 && p.lastLeaveRequestAt > since && !p.leaveGranted
 }
 
-// recordReturn records that a member that was granted leave has started again. A response to a round of heartbeats that began after its
-// LeaveRequest, and that does not say that the member is leaving, is from its new process. Other responses may be from the former
-// process, still in flight, and must not count.
-func (p *progress) recordReturn(m Message) {
+// recordRestart records that a member that was granted leave has started again. A response without Leaving to a heartbeat round that began
+// after the LeaveRequest is from the new process. Other responses may have been sent by the former process, and must not count.
+func (p *progress) recordRestart(m Message) {
 	if p.leaveGranted && !m.Leaving && m.HeartbeatRound >= p.leaveRound {
-		p.leaveGranted, p.leavingAt = false, 0
+		p.leaveGranted, p.lastLeaveRequestAt = false, 0
 	}
 }
 
-// isCommittedWithout reports whether everything committed is held by a majority of the voters other than one that leaves, and whether that
-// majority was heard since its LeaveRequest. A voter that was granted leave before does not count until it is back: otherwise
-// restarting all members one after the other could leave a single copy.
+// isCommittedWithout reports whether a majority of the voters other than the leaving one has everything committed on disk, and has answered
+// the leader since the LeaveRequest. A voter that was granted leave before does not count until it has restarted: otherwise restarting all
+// members one after the other could leave a single copy of an entry.
 func (r *Raft) isCommittedWithout(leaving *progress) bool {
-	holds := func(id ID) bool {
+	hasCommitted := func(id ID) bool {
 		if r.matchIndex(id) < r.log.committed {
 			return false
 		}
@@ -155,40 +154,41 @@
 		p := r.peers.get(id)
 		return p != nil && p.answeredRound >= leaving.leaveRound
 	}
-	isHeldBy := func(members []Member) bool {
-		staying := slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.ID == leaving.ID })
-		return len(staying) == 0 || hasMajority(staying, holds)
+	isOnMajorityOf := func(members []Member) bool {
+		remaining := slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.ID == leaving.ID })
+		return len(remaining) == 0 || hasMajority(remaining, hasCommitted)
 	}
-	return isHeldBy(r.log.configuration.Members) && isHeldBy(r.log.configuration.Outgoing)
+	return isOnMajorityOf(r.log.configuration.Members) && isOnMajorityOf(r.log.configuration.Outgoing)
 }
 
-// isLeaving reports whether a member leaves and was not granted that yet, as far as the leader knows.
+// isLeaving reports whether a member is leaving and was not granted leave yet, as far as the leader knows.
 func (r *Raft) isLeaving(id ID) bool {
 	if id == r.config.Self.ID {
 		return r.leave.requested
 	}
 	p := r.peers.get(id)
-	return p != nil && p.isLeavingSince(r.now-r.config.leaveRequestSpan())
+	return p != nil && p.isLeavingSince(r.now-r.config.leaveRequestTimeout())
 }
 
-// isReplacementReady reports whether a learner that has caught up is about to replace a member that leaves, or is just doing so. That
-// member may only stop once it is replaced: without its vote, the loss of one more disk could leave no majority for good.
+// isReplacementReady reports whether a learner that has caught up is about to replace a leaving member, or whether a joint change in
+// progress replaces it. The leaving member may only stop once it is replaced: if it stopped as a voter, the loss of one more disk could
+// leave the cluster without a majority permanently.
 func (r *Raft) isReplacementReady(leaving ID) bool {
 	configuration := r.log.configuration
 	if configuration.isJoint() {
 		return containsMember(configuration.Outgoing, leaving) && !containsMember(configuration.Members, leaving)
 	}
 	return slices.ContainsFunc(r.peers, func(p *progress) bool {
-		if !p.isJoining || configuration.isVoter(p.ID) || r.now-p.heardAt > r.config.ElectionTimeout || !r.isCaughtUp(p) {
+		if !p.isJoining || configuration.isVoter(p.ID) || r.now-p.lastContactAt > r.config.ElectionTimeout || !r.isCaughtUp(p) {
 			return false
 		}
-		place, _ := r.replaceableMember(p)
-		return place != noMember && configuration.Members[place].ID == leaving &&
-			r.protocolVersionWith(p, place) >= versionWithJointChange
+		replaced, _ := r.replaceableMember(p)
+		return replaced != noMemberIndex && configuration.Members[replaced].ID == leaving &&
+			r.protocolVersionWith(p, replaced) >= versionWithJointChange
 	})
 }
 
-// sendLeaveGranted tells a member that nothing depends on it any more.
+// sendLeaveGranted tells a leaving member that it may stop.
 func (r *Raft) sendLeaveGranted(p *progress) {
 	r.sendAfterSave(Message{Kind: LeaveGranted, To: p.ID, Term: r.term})
 }
--- a/internal/mesh/raft/log.go
+++ b/internal/mesh/raft/log.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Bounds of the entries that are kept before a snapshot, so that a follower that was away for a short time needs no snapshot.
+// Limits on the entries kept before a snapshot. They spare a follower that was disconnected for a short time a snapshot transfer.
 const (
-	// DefaultCatchUpEntries is how many there are at most, unless Config says otherwise.
+	// DefaultCatchUpEntries is the usual value of Config.MaxCatchUpEntries.
 	DefaultCatchUpEntries = 4096
-	maxCatchUpBytes       = 4 << 20 // how many bytes they have at most
-	entryOverhead         = 64      // bytes that an entry takes besides its data, approximately
+	maxCatchUpBytes       = 4 << 20 // of all kept entries
+	entryOverheadBytes    = 64      // approximate size of an entry without its data
 )
 
-// raftLog is a member's log: its entries, the snapshot that replaces those before them, up to where they are on disk, committed and
-// applied, and the latest configuration in them. At all times start.index <= snapshot.Index <= applied <= committed <= lastIndex(), but for
-// a received snapshot, which counts as applied once takeUnsavedSnapshot has handed it out.
+// raftLog is a member's log: the entries, the snapshot that replaces earlier entries, the indexes up to which entries are saved, committed
+// and applied, and the latest configuration. It is always true that start.index <= snapshot.Index <= applied <= committed <= lastIndex(),
+// except that a received snapshot counts as applied only once takeUnsavedSnapshot has returned it.
 type raftLog struct {
-	start    position // of the last entry before entries
-	entries  []Entry  // without a gap; the first ones may be before the end of the snapshot
+	start    position // of the entry before the first of entries
+	entries  []Entry  // without a gap; the first ones may be covered by the snapshot
 	snapshot Snapshot
 
 	savedIndex    uint64        // the entries up to here are on disk
 	committed     uint64        // the entries up to here are on the disks of a quorum, and never change again
-	applied       uint64        // the entries up to here were handed out as committed
+	applied       uint64        // the entries up to here were returned by takeCommittedEntries
 	configuration Configuration // the latest in the log, committed or not
 
 	firstUnsavedIndex uint64 // entries from here on have to be written; 0 if there are none
 	snapshotUnsaved   bool   // the snapshot was received and has to be written
 }
 
-// newRaftLog returns the log that a disk holds: a snapshot, the entries after it, and catch-up entries before its end.
+// newRaftLog returns the log as read from disk: a snapshot, the entries after it, and catch-up entries that end at the snapshot's index.
 func newRaftLog(snapshot Snapshot, entries, catchUp []Entry) raftLog {
 	l := raftLog{
 		start:     position{snapshot.Index, snapshot.Term},
@@ -45,7 +45,7 @@
 	return l
 }
 
-// restoreCatchUpEntries adds catch-up entries, if they end where the snapshot does. Of the oldest only the position is kept, as the start.
+// restoreCatchUpEntries adds catch-up entries if they end at the snapshot's last entry. The oldest one only provides the start position.
 func (l *raftLog) restoreCatchUpEntries(catchUp []Entry) {
 	n := len(catchUp)
 	if n == 0 || catchUp[n-1].Index != l.snapshot.Index || catchUp[n-1].Term != l.snapshot.Term {
@@ -64,8 +64,8 @@
 // entriesFrom returns the entries from an index on, which must be after start.
 func (l *raftLog) entriesFrom(index uint64) []Entry { return l.entries[index-l.start.index-1:] }
 
-// termAt returns the term of the entry at an index. known is false if the log does not hold it.
-func (l *raftLog) termAt(index uint64) (term uint64, known bool) {
+// termAt returns the term of the entry at an index. found is false if the log does not contain the entry.
+func (l *raftLog) termAt(index uint64) (term uint64, found bool) {
 	switch {
 	case index == l.start.index:
 		return l.start.term, true
@@ -94,7 +94,7 @@
 	return last.term > l.lastTerm() || last.term == l.lastTerm() && last.index >= l.lastIndex()
 }
 
-// append adds entries at the end of the log, and adopts the latest configuration among them.
+// append adds entries at the end of the log, and switches to the latest configuration among them, if any.
 func (l *raftLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 	l.markUnsaved(entries[0].Index)
@@ -105,16 +105,16 @@
 	}
 }
 
-// merge adds the leader's entries to the log, which must agree with the leader's at the entry before them. The log is only truncated at an
-// entry that conflicts with one of them: a delayed message must not remove entries that were acknowledged since it was sent (Raft
+// merge adds the leader's entries to the log, which must agree with the leader's log at the entry before them. The log is only truncated at
+// an entry that conflicts with one of them: a delayed message must not remove entries that were acknowledged after it was sent (Raft
 // paper, section 5.3).
 func (l *raftLog) merge(entries []Entry) {
 	for i, entry := range entries {
-		term, known := l.termAt(entry.Index)
-		if known && term == entry.Term {
+		term, found := l.termAt(entry.Index)
+		if found && term == entry.Term {
 			continue
 		}
-		if known {
+		if found {
 			l.truncateFrom(entry.Index)
 		}
 		l.append(entries[i:]...)
@@ -122,7 +122,7 @@
 	}
 }
 
-// truncateFrom removes the entries from an index on. A configuration among them no longer holds.
+// truncateFrom removes the entries from an index on. If the latest configuration is among them, the one before it is in force again.
 func (l *raftLog) truncateFrom(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.start.index-1])
 	l.savedIndex = min(l.savedIndex, index-1)
@@ -138,8 +138,8 @@
 	}
 }
 
-// takeUnsaved returns the entries that have to be written since the last call.
-func (l *raftLog) takeUnsaved() []Entry {
+// takeUnsavedEntries returns the entries that have to be written since the last call.
+func (l *raftLog) takeUnsavedEntries() []Entry {
 	if l.firstUnsavedIndex == 0 {
 		return nil
 	}
@@ -148,7 +148,7 @@
 	return entries
 }
 
-// takeUnsavedSnapshot returns the snapshot that was received since the last call and has to be written, or nil if none was.
+// takeUnsavedSnapshot returns a snapshot that was received since the last call and has to be written, or nil if there is none.
 func (l *raftLog) takeUnsavedSnapshot() *Snapshot {
 	if !l.snapshotUnsaved {
 		return nil
@@ -159,8 +159,8 @@
 	return &snapshot
 }
 
-// takeCommitted returns the entries that were committed since the last call.
-func (l *raftLog) takeCommitted() []Entry {
+// takeCommittedEntries returns the entries that were committed since the last call.
+func (l *raftLog) takeCommittedEntries() []Entry {
 	if l.committed <= l.applied {
 		return nil
 	}
@@ -169,13 +169,13 @@
 	return entries
 }
 
-// rejectHint returns the highest index at which the log may agree with the leader's, given an index at which it does not: the entry is
-// missing or of another term. All entries of that other term are skipped, since they are from a former leader and trying them one by
-// one would take a heartbeat interval each (Raft paper, section 5.3). Committed entries always agree.
+// rejectHint returns the highest index at which the log may agree with the leader's log, given an index at which it does not, because the
+// entry there is missing or has another term. All entries of that other term are skipped: they are from a former leader, and trying them
+// one by one would take a heartbeat interval each (Raft paper, section 5.3). Committed entries always agree.
 func (l *raftLog) rejectHint(index uint64) uint64 {
 	hint := min(index-1, l.lastIndex())
-	conflicting, known := l.termAt(index)
-	if !known {
+	conflicting, found := l.termAt(index)
+	if !found {
 		return hint
 	}
 	for at := hint; at > l.committed; at-- {
@@ -187,7 +187,7 @@
 	return max(l.committed, hint)
 }
 
-// refreshConfiguration looks for the latest configuration in the log.
+// refreshConfiguration sets the configuration to the latest one in the log.
 func (l *raftLog) refreshConfiguration() { l.configuration = l.configurationAt(l.lastIndex()) }
 
 // configurationAt returns the latest configuration up to an index, which must not be before the end of the snapshot.
@@ -203,16 +203,16 @@
 	return l.snapshot.configuration()
 }
 
-// isConfigurationCommitted reports whether the latest configuration is committed and not joint, so that no change is in progress as far as
-// this member knows.
+// isConfigurationCommitted reports whether the latest configuration is committed and not joint: as far as this member knows, no
+// configuration change is in progress.
 func (l *raftLog) isConfigurationCommitted() bool {
 	return l.configuration.Index <= l.committed && !l.configuration.isJoint()
 }
 
 // restore replaces the log up to the end of a received snapshot, which must be ahead of the commit index. Later entries are kept only
-// if the log holds the snapshot's last entry, since only then do they follow it.
+// if the log contains the snapshot's last entry, since only then do they follow it.
 func (l *raftLog) restore(snapshot Snapshot) {
-	if term, known := l.termAt(snapshot.Index); known && term == snapshot.Term {
+	if term, found := l.termAt(snapshot.Index); found && term == snapshot.Term {
 		l.entries = slices.Clone(l.entriesFrom(snapshot.Index + 1))
 	} else {
 		l.entries = nil
@@ -228,9 +228,9 @@
 	l.refreshConfiguration()
 }
 
-// compact replaces the log up to an applied index by a snapshot with data, the state machine at that index. Entries after keepFrom, which
-// must not be after the index, stay as catch-up entries. Only applied entries are replaced: they are committed, so no leader will ever
-// replace them by others (Raft paper, section 7).
+// compact replaces the log up to an applied index with a snapshot, whose data is the encoded state machine at that index. Entries after
+// keepFrom, which must not be greater than index, are kept as catch-up entries. Only applied entries are replaced: they are committed, so
+// no leader will ever overwrite them (Raft paper, section 7).
 func (l *raftLog) compact(index uint64, data []byte, keepFrom uint64) {
 	entry, configuration := l.entriesFrom(index)[0], l.configurationAt(index)
 	l.snapshot = Snapshot{
@@ -248,11 +248,11 @@
 	l.start = position{keepFrom, term}
 }
 
-// entryBytes returns the size of an entry as the bounds of this package count it.
-func entryBytes(entry Entry) int { return len(entry.Data) + entryOverhead }
+// entryBytes returns the size of an entry that counts towards the limits of this package.
+func entryBytes(entry Entry) int { return len(entry.Data) + entryOverheadBytes }
 
-// sizeOf returns the size of entries as the bounds of this package count it.
-func sizeOf(entries []Entry) (bytes int) {
+// totalEntryBytes returns the sum of the entries' sizes.
+func totalEntryBytes(entries []Entry) (bytes int) {
 	for _, entry := range entries {
 		bytes += entryBytes(entry)
 	}
--- a/internal/mesh/raft/message.go
+++ b/internal/mesh/raft/message.go
@@ -1,52 +1,53 @@
 package raft
 
-// ProtocolVersion is the version that this build speaks; each message carries its sender's. Version 0 is that of the first release,
-// whose messages carry none. It knows neither joint changes, departures nor snapshot chunks, so none of these is sent to it.
+// ProtocolVersion is the version that this build speaks. Each message carries the version of its sender. Version 0 is that of the first
+// release, whose messages carry no version. It does not support joint changes, planned departures or snapshot chunks, so a member of
+// version 0 is sent none of these.
 const ProtocolVersion = 1
 
-// The first protocol versions with an extension of version 0.
+// The lowest protocol version that supports each extension of version 0.
 const (
 	versionWithLeave          = 1 // LeaveRequest and LeaveGranted
 	versionWithJointChange    = 1 // configuration entries with Outgoing
 	versionWithSnapshotChunks = 1 // SnapshotChunk and SnapshotChunkResponse
 )
 
-// lastVersion0Kind is the last kind of message that protocol version 0 knows.
+// lastVersion0Kind is the highest message kind that protocol version 0 supports.
 const lastVersion0Kind = TimeoutNow
 
-// MessageKind is what a message says. Its values are sent, so they must not change.
+// MessageKind is the kind of a message. Its values are sent, so they must not change.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	// AppendEntries carries the Entries that follow the entry at Index, which is of LogTerm. It is a heartbeat if it has no Entries.
+	// AppendEntries carries the Entries that follow the entry at Index, which has LogTerm. Without Entries it is a heartbeat.
 	AppendEntries MessageKind = iota
-	// AppendResponse says that the sender's log agrees with the leader's up to Index and is on disk. With Reject it says that the logs do
-	// not agree at the position of the request, and that they may agree at Hint.
+	// AppendResponse acknowledges that the sender's log agrees with the leader's log up to Index and is on disk up to there. With Reject it
+	// says that the logs disagree at the position in the request, and that they may agree at Hint.
 	AppendResponse
-	// PreVote asks whether the receiver would vote for the sender in Term. The sender's log ends at Index, with an entry of LogTerm.
+	// PreVote asks whether the receiver would vote for the sender in Term. The sender's log ends at Index with an entry of LogTerm.
 	PreVote
-	// PreVoteResponse answers PreVote: yes, unless Reject is set.
+	// PreVoteResponse answers PreVote. The pre-vote is granted unless Reject is set.
 	PreVoteResponse
-	// RequestVote asks for the vote in Term. The sender's log ends at Index, with an entry of LogTerm.
+	// RequestVote asks for the receiver's vote in Term. The sender's log ends at Index with an entry of LogTerm.
 	RequestVote
-	// VoteResponse answers RequestVote: the vote is given, and on disk, unless Reject is set.
+	// VoteResponse answers RequestVote. The vote is granted, and on the sender's disk, unless Reject is set.
 	VoteResponse
 	// InstallSnapshot carries a Snapshot in one message, for members of protocol version 0.
 	InstallSnapshot
-	// JoinRequest asks the leader to let the sender join, which is a non-member and listens at Addr.
+	// JoinRequest asks the leader to let the sender join. The sender is a non-member that listens at Addr.
 	JoinRequest
-	// NotMember tells the receiver that it is no voter. Members are the voters as of ConfigurationIndex.
+	// NotMember tells the receiver that it is not a voter. Members are the voters as of ConfigurationIndex.
 	NotMember
 	// TimeoutNow transfers leadership: the receiver starts an election at once (dissertation, section 3.10).
 	TimeoutNow
-	// LeaveRequest says that the sender is going to stop (from version 1 on; see leave.go).
+	// LeaveRequest announces that the sender is going to stop (from version 1 on; see leave.go).
 	LeaveRequest
-	// LeaveGranted answers LeaveRequest: nothing depends on the receiver any more (from version 1 on).
+	// LeaveGranted answers LeaveRequest: the receiver may stop (from version 1 on).
 	LeaveGranted
 	// SnapshotChunk carries the part of a Snapshot's data that starts at Offset (from version 1 on).
 	SnapshotChunk
-	// SnapshotChunkResponse says that the sender has the data up to Offset. With Reject the receiver has to continue from there (from
+	// SnapshotChunkResponse acknowledges the data up to Offset. With Reject the leader has to send everything from Offset on again (from
 	// version 1 on).
 	SnapshotChunkResponse
 )
@@ -76,27 +77,28 @@
 	return "unknown message kind"
 }
 
-// Message is sent between members. To is the ID of the receiver; another member that now listens at its address ignores the message.
+// Message is a message between members. To is the ID of the receiver; a member with another ID that now listens at the receiver's address
+// ignores the message.
 type Message struct {
 	Kind               MessageKind
 	From, To           ID
-	Term               uint64    // the sender's; of a PreVote the next one, which a granted PreVoteResponse repeats
-	Index, LogTerm     uint64    // a position in the sender's log; see the kinds
+	Term               uint64    // of the sender; a PreVote and a granted PreVoteResponse carry the term after the candidate's
+	Index, LogTerm     uint64    // a position in the sender's log; see the message kinds
 	Commit             uint64    // the leader's commit index
 	Entries            []Entry   // of an AppendEntries, without a gap
 	Reject             bool      // of a response
 	Hint               uint64    // of a rejected AppendResponse; or leadershipTransferHint
 	HeartbeatRound     uint64    // of an AppendEntries, and of the AppendResponse to it
 	Snapshot           *Snapshot // of an InstallSnapshot or, with a part of its data, of a SnapshotChunk
-	Addr               string    // of a JoinRequest, and where the NotMember that answers it goes
+	Addr               string    // of a JoinRequest's sender; of a NotMember that answers it: where to send it
 	Members            []Member  // of a NotMember
 	ConfigurationIndex uint64    // of a NotMember: the entry that defines Members
-	ProtocolVersion    uint32    // that the sender speaks; Ready sets it
+	ProtocolVersion    uint32    // spoken by the sender; Ready sets it
 	Offset, TotalBytes uint64    // of a SnapshotChunk, in the snapshot's data
 	Checksum           uint32    // of a SnapshotChunk: CRC-32C of all of the snapshot's data
 	Leaving            bool      // the sender is in a planned departure; Ready sets it
 }
 
-// leadershipTransferHint is the Hint of a RequestVote that the leader asked for by TimeoutNow. Members vote for it although they hear the
-// leader (dissertation, section 4.2.3).
+// leadershipTransferHint is the Hint of a RequestVote that follows TimeoutNow. Members handle this request although they are in contact
+// with the leader (dissertation, section 4.2.3).
 const leadershipTransferHint = 1
--- a/internal/mesh/raft/mutations_test.go
+++ b/internal/mesh/raft/mutations_test.go
@@ -6,8 +6,8 @@
 var voteMutations = []mutant{
 	{name: "an answer before the sync", edits: []edit{{
 		"ready.go",
-		"	ready.Entries = r.log.takeUnsaved()\n",
-		`	ready.Entries = r.log.takeUnsaved()
+		"	ready.Entries = r.log.takeUnsavedEntries()\n",
+		`	ready.Entries = r.log.takeUnsavedEntries()
 	if len(ready.Entries) > 0 {
 		ready.MessagesBeforeSave, ready.MessagesAfterSave = append(ready.MessagesBeforeSave, ready.MessagesAfterSave...), nil
 	}
@@ -53,7 +53,7 @@
 	}}},
 	{name: "a pre-vote though the leader is heard", test: "TestLeaderExitReportedWrongly", edits: []edit{{
 		"election.go",
-		"granted := m.Term > r.term && !r.hearsLeader() && r.isUpToDate(m)",
+		"granted := m.Term > r.term && !r.hasActiveLeader() && r.isUpToDate(m)",
 		"granted := m.Term > r.term && r.isUpToDate(m)",
 	}}},
 	{name: "no vote for a member that is not known", test: "TestVoteForUnknownMember", edits: []edit{{
@@ -81,8 +81,8 @@
 	}
 	preVoteForShorterLog = edit{
 		"election.go",
-		"granted := m.Term > r.term && !r.hearsLeader() && r.isUpToDate(m)",
-		"granted := m.Term > r.term && !r.hearsLeader()",
+		"granted := m.Term > r.term && !r.hasActiveLeader() && r.isUpToDate(m)",
+		"granted := m.Term > r.term && !r.hasActiveLeader()",
 	}
 )
 
@@ -105,18 +105,18 @@
 	}}},
 	{name: "entries put behind one of another term", edits: []edit{{
 		"follower.go",
-		"!known || term != m.LogTerm {",
-		"!known || term > m.LogTerm+100 {",
+		"!found || term != m.LogTerm {",
+		"!found || term > m.LogTerm+100 {",
 	}}},
 	{name: "entries that agree cut off", test: "TestLateAppendCutsNothingOff", edits: []edit{{
 		"log.go",
-		"if known && term == entry.Term {",
-		"if known && term == entry.Term && i < len(entries)-1 {",
+		"if found && term == entry.Term {",
+		"if found && term == entry.Term && i < len(entries)-1 {",
 	}}},
 	{name: "entries that conflict kept", test: "TestLateAppendCutsNothingOff", edits: []edit{{
 		"log.go",
-		"if known && term == entry.Term {",
-		"if known && term > 0 {",
+		"if found && term == entry.Term {",
+		"if found && term > 0 {",
 	}}},
 	{name: "the leader counts itself before its sync", test: "TestLeaderCountsItselfOnceSaved", edits: []edit{{
 		"replication.go",
@@ -202,8 +202,8 @@
 	}}},
 	{name: "a log of another term kept behind a snapshot", test: "TestSnapshotReplacesConflictingLog", edits: []edit{{
 		"log.go",
-		"known && term == snapshot.Term {",
-		"known && term > 0 {",
+		"found && term == snapshot.Term {",
+		"found && term > 0 {",
 	}}},
 	{name: "chunks put together in the order in which they come", test: "TestSnapshotOverLossyLink", edits: []edit{{
 		"snapshot_receive.go",
@@ -214,8 +214,8 @@
 
 var checksumIgnored = edit{
 	"snapshot_receive.go",
-	"if crc32.Checksum(incoming.data, castagnoli) != incoming.checksum {",
-	"if crc32.Checksum(incoming.data, castagnoli) == incoming.checksum+1 {",
+	"if crc32.Checksum(incoming.data, castagnoliTable) != incoming.checksum {",
+	"if crc32.Checksum(incoming.data, castagnoliTable) == incoming.checksum+1 {",
 }
 
 // Mutations of changes of the membership: section 6 of the Raft paper, chapter 4 of Ongaro's dissertation.
@@ -346,7 +346,7 @@
 	}}},
 	{name: "a message meant for another at this address taken", test: "TestMessageForAnother", edits: []edit{{
 		"step.go",
-		"	case m.To != r.config.Self.ID:\n		return // meant for a member that was at this address before\n",
+		"	case m.To != r.config.Self.ID:\n		return // meant for a member that used this address before\n",
 		"",
 	}}},
 }
--- a/internal/mesh/raft/progress.go
+++ b/internal/mesh/raft/progress.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// progress is what a leader knows of one peer.
+// progress is a leader's record of one peer.
 type progress struct {
 	Member
 
 	match uint64 // up to here the peer's log agrees with the leader's and is on the peer's disk
 	next  uint64 // the next entry to send
 
-	heardAt         time.Duration
-	hasAnswered     bool   // it has sent something to this leader, so protocolVersion is known
-	protocolVersion uint32 // that it speaks
-	answeredRound   uint64 // latest round of heartbeats that it has answered
-	isVoter         bool   // of the latest configuration
-	isJoining       bool   // a learner that has asked to join; a removed voter has to ask again
+	lastContactAt   time.Duration
+	hasAnswered     bool   // the peer has sent a message to this leader, so protocolVersion is known
+	protocolVersion uint32 // spoken by the peer
+	answeredRound   uint64 // the latest heartbeat round that the peer has answered
+	isVoter         bool   // in the latest configuration
+	isJoining       bool   // the peer is a learner that has asked to join; a removed voter has to ask again
 
-	inflight []inflightAppend // messages with entries that the peer has not acknowledged
-	paused   bool             // no more is sent until the peer answers or a heartbeat is due
+	inflight []inflightAppend // messages whose entries the peer has not acknowledged
+	paused   bool             // send no entries until the peer answers or a heartbeat is due
 
-	transfer            *snapshotTransfer // of a snapshot in chunks, or nil
-	wholeSnapshotSentAt time.Duration     // when a snapshot was sent in one message, or 0 if none was
+	transfer            *snapshotTransfer // the transfer of a snapshot in chunks, or nil
+	wholeSnapshotSentAt time.Duration     // when a snapshot was last sent in one message, or 0
 
-	// Of a member in a planned departure; see leave.go.
-	leavingAt    time.Duration // when its last LeaveRequest came, or 0 if none did
-	leaveRound   uint64        // round of heartbeats that began with its first LeaveRequest
-	leaveGranted bool          // it was sent LeaveGranted: what it acknowledges from then on does not count
+	// Only used during a planned departure of the peer; see leave.go.
+	lastLeaveRequestAt time.Duration // when its last LeaveRequest arrived, or 0 if none did
+	leaveRound         uint64        // the heartbeat round that began with its first LeaveRequest
+	leaveGranted       bool          // LeaveGranted was sent; later acknowledgements are ignored
 }
 
-// inflightAppend is one message with entries that is not acknowledged yet.
+// inflightAppend is a message with entries that is not acknowledged yet.
 type inflightAppend struct {
 	lastIndex uint64
 	bytes     int
 }
 
-// recordContact records that a message of the peer came.
+// recordContact records that a message of the peer has arrived.
 func (p *progress) recordContact(now time.Duration, m Message) {
-	p.heardAt, p.hasAnswered, p.protocolVersion = now, true, m.ProtocolVersion
+	p.lastContactAt, p.hasAnswered, p.protocolVersion = now, true, m.ProtocolVersion
 }
 
-// isInflightFull reports whether no more entries may be in flight.
+// isInflightFull reports whether the entries in flight have reached maxInflightBytes, so that no more may be sent.
 func (p *progress) isInflightFull() bool {
 	bytes := 0
 	for _, message := range p.inflight {
@@ -52,8 +52,8 @@
 	return bytes >= maxInflightBytes
 }
 
-// acknowledge records up to which index the peer has the log. Nothing new counts of a peer that was granted leave, since it may stop at any
-// moment.
+// acknowledge records that the peer's log agrees with the leader's up to an index and is on the peer's disk. It does not advance the match
+// index of a peer that was granted leave, since that peer may stop at any moment.
 func (p *progress) acknowledge(index uint64) {
 	if !p.leaveGranted {
 		p.match = max(p.match, index)
@@ -64,37 +64,37 @@
 	}
 }
 
-// progressTracker holds a leader's progress records in ascending order of ID, so that the same events always handle them in the same order.
+// progressTracker is a leader's progress records sorted by ID, so that they are always processed in the same order.
 type progressTracker []*progress
 
-// find returns the position of a peer's record, or the one at which it would be inserted.
-func (t progressTracker) find(id ID) (at int, found bool) {
+// find returns the position of a peer's record, or the position at which it would be inserted.
+func (t progressTracker) find(id ID) (i int, found bool) {
 	return slices.BinarySearchFunc(t, id, func(p *progress, id ID) int { return cmp.Compare(p.ID, id) })
 }
 
 // get returns the record of a peer, or nil if there is none.
 func (t progressTracker) get(id ID) *progress {
-	if at, found := t.find(id); found {
-		return t[at]
+	if i, found := t.find(id); found {
+		return t[i]
 	}
 	return nil
 }
 
-// heardAfter reports whether a message of a peer came after an instant.
-func (t progressTracker) heardAfter(id ID, instant time.Duration) bool {
+// contactedAfter reports whether the last message of a peer arrived after an instant.
+func (t progressTracker) contactedAfter(id ID, instant time.Duration) bool {
 	p := t.get(id)
-	return p != nil && p.heardAt > instant
+	return p != nil && p.lastContactAt > instant
 }
 
-// insert adds a record that is not there yet.
+// insert adds a record. There must be none with the same ID yet.
 func (t *progressTracker) insert(p *progress) {
-	at, _ := t.find(p.ID)
-	*t = slices.Insert(*t, at, p)
+	i, _ := t.find(p.ID)
+	*t = slices.Insert(*t, i, p)
 }
 
-// trackVoters adds a progress record for each other voter of the latest configuration. The record of a removed voter is kept while it
-// is heard, so that it learns of its removal from the log. If it asks to join again it has to acknowledge its log again, since it may
-// have been removed because its disk was lost.
+// trackVoters adds a progress record for each other voter of the latest configuration. The record of a removed voter is kept while
+// messages of it arrive, so that it learns of its removal from the log. Its match index is reset: it may have been removed because its disk
+// was lost, so it has to acknowledge its log again before it can rejoin.
 func (r *Raft) trackVoters() {
 	for _, p := range r.peers {
 		isVoter := r.log.configuration.isVoter(p.ID)
@@ -109,7 +109,7 @@
 		if p := r.peers.get(voter.ID); p != nil {
 			p.Member = voter
 		} else if voter.ID != r.config.Self.ID {
-			r.peers.insert(&progress{Member: voter, next: r.log.lastIndex() + 1, heardAt: r.now, isVoter: true})
+			r.peers.insert(&progress{Member: voter, next: r.log.lastIndex() + 1, lastContactAt: r.now, isVoter: true})
 		}
 	}
 }
--- a/internal/mesh/raft/raftwire/raftwire.go
+++ b/internal/mesh/raft/raftwire/raftwire.go
@@ -1,7 +1,7 @@
 // Package raftwire converts Raft messages, entries and snapshots to FlatBuffers tables and back. The tables are sent between control-plane
-// members and stored on their disks, so fields may be added but the layout must never change (testdata holds recorded bytes). The
-// package is pure, and its functions may be called from any goroutine. Results share byte slices with their arguments, so neither may be
-// changed afterwards. The schema is transport/wire.fbs.
+// members and stored on their disks, so fields may be added but the existing layout must never change; a test compares it with recorded
+// bytes in testdata. The functions have no side effects and may be called from any goroutine. Results share byte slices with the
+// arguments, so neither may be modified afterwards. The schema is transport/wire.fbs.
 package raftwire
 
 import (
@@ -50,7 +50,7 @@
 	return t
 }
 
-// EntryFromWire decodes an entry. The error is codec.ErrMalformedFrame.
+// EntryFromWire decodes an entry. The error wraps codec.ErrMalformedFrame.
 func EntryFromWire(t *wire.EntryT) (raft.Entry, error) {
 	e := raft.Entry{
 		Index:   t.Index,
@@ -132,7 +132,7 @@
 	return t
 }
 
-// MessageFromWire decodes a message between members. The error is codec.ErrMalformedFrame.
+// MessageFromWire decodes a message between members. The error wraps codec.ErrMalformedFrame.
 func MessageFromWire(t *wire.RaftMessageT) (raft.Message, error) {
 	m := raft.Message{
 		Kind:               raft.MessageKind(t.Kind),
--- a/internal/mesh/raft/read_index.go
+++ b/internal/mesh/raft/read_index.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// ReadState is the result of a ReadIndex. The read may be served once everything up to Index is applied. Index 0 says that it was not
-// confirmed, so that the caller has to ask again.
+// ReadState is the result of a ReadIndex call. The read may be served once all entries up to Index are applied. Index 0 means that the read
+// was not confirmed and the caller has to request it again.
 type ReadState struct {
 	RequestID uint64
 	Index     uint64
 }
 
-// pendingRead waits until a quorum has answered a round of heartbeats.
+// pendingRead is a read that waits until a quorum has answered a heartbeat round.
 type pendingRead struct {
 	requestID uint64
 	index     uint64 // the commit index when the read was requested
-	round     uint64
+	round     uint64 // the heartbeat round that confirms it
 }
 
-// readQueue holds a leader's pending reads in the order of their rounds.
+// readQueue is a leader's pending reads in the order of their heartbeat rounds.
 type readQueue []pendingRead
 
-// ReadIndex requests a linearizable read. Ready returns its result as a ReadState with this request ID. It returns false if this member
-// does not lead, or does not know yet what earlier leaders have committed; the caller then has to ask again later (dissertation,
-// section 6.4). The clock is not relied upon: there is no lease by which a leader could read without a round of heartbeats.
+// ReadIndex requests a linearizable read. Ready returns the result as a ReadState with this request ID. ReadIndex returns false if this
+// member does not lead, or does not know yet what earlier leaders have committed; the caller then has to ask again later (dissertation,
+// section 6.4). Reads do not rely on clocks: there is no leader lease that would replace the heartbeat round.
 func (r *Raft) ReadIndex(now time.Duration, requestID uint64) bool {
 	r.advanceTime(now)
 	if r.role != leader || !r.hasCommittedOwnTerm() {
@@ -31,14 +31,14 @@
 		r.answerRead(ReadState{RequestID: requestID, Index: r.log.committed})
 		return true
 	}
-	// Responses to a round that began before the request would not show that no other member has become leader since.
+	// Responses to a round that began before this request would not prove that no other member has become leader since.
 	r.broadcastHeartbeat()
 	r.reads = append(r.reads, pendingRead{requestID: requestID, index: r.log.committed, round: r.leading.heartbeatRound})
 	return true
 }
 
-// confirmReads confirms the reads whose round of heartbeats a quorum has answered, which shows that this member still led when the round
-// began.
+// confirmReads completes the reads whose heartbeat round a quorum has answered. The answers prove that this member was still the leader
+// when the round began.
 func (r *Raft) confirmReads() {
 	for len(r.reads) > 0 {
 		read := r.reads[0]
@@ -54,7 +54,7 @@
 	}
 }
 
-// rejectReads answers all pending reads as not confirmed, because this member has stopped leading.
+// rejectReads completes all pending reads as not confirmed, because this member no longer leads.
 func (r *Raft) rejectReads() {
 	for _, read := range r.reads {
 		r.answerRead(ReadState{RequestID: read.requestID})
@@ -62,5 +62,5 @@
 	r.reads = nil
 }
 
-// answerRead hands out the result of a read with the next Ready.
+// answerRead adds the result of a read to the next Ready.
 func (r *Raft) answerRead(state ReadState) { r.outbox.readStates = append(r.outbox.readStates, state) }
--- a/internal/mesh/raft/ready.go
+++ b/internal/mesh/raft/ready.go
@@ -1,24 +1,24 @@
 package raft
 
-// Ready is what the caller has to do, in this order:
+// Ready tells the caller what to do, in this order:
 //
 //  1. send MessagesBeforeSave;
-//  2. write Snapshot, HardState and Entries (which replace all entries from the index of the first one on) and sync them;
+//  2. write Snapshot, HardState and Entries (which replace all stored entries from the index of the first one on) and sync them;
 //  3. call MarkSaved;
 //  4. send MessagesAfterSave;
-//  5. replace the state machine by Snapshot;
+//  5. restore the state machine from Snapshot;
 //  6. apply CommittedEntries;
 //  7. serve the reads of ReadStates.
 //
-// Step 2 comes before step 4 because a vote or an acknowledgement that is sent and then lost with the disk's cache lets two leaders be
-// elected, or a committed entry vanish (Raft paper, section 5.6 and figure 2). If step 2 fails, the caller repeats it and does nothing
-// else with this Raft before it succeeds.
+// Step 2 comes before step 4 because otherwise a member could send a vote or an acknowledgement and then lose it in a crash, so that two
+// leaders are elected or a committed entry is lost (Raft paper, section 5.6 and figure 2). If step 2 fails, the caller must repeat it
+// until it succeeds, and call no method of this Raft before.
 type Ready struct {
 	MessagesBeforeSave, MessagesAfterSave []Message
 
 	HardState        *HardState // nil if it is unchanged
 	Entries          []Entry
-	Snapshot         *Snapshot // received from the leader: it replaces the log and the state machine. Nil if none was received.
+	Snapshot         *Snapshot // received from the leader, replaces the log and the state machine; nil if none was received
 	CommittedEntries []Entry
 	ReadStates       []ReadState
 }
@@ -26,44 +26,45 @@
 // MustSync reports whether something has to be on disk before MessagesAfterSave are sent.
 func (r Ready) MustSync() bool { return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0 }
 
-// outbox collects what the next Ready hands out beside the log.
+// outbox collects what the next Ready returns, except for the changes of the log.
 type outbox struct {
-	// beforeSave holds messages that do not depend on anything unsaved: a leader may replicate entries while it writes them to its own
-	// disk (dissertation, section 10.2.1).
+	// beforeSave are messages that do not depend on unsaved state: a leader may replicate entries while it writes them to its own disk
+	//  (dissertation, section 10.2.1).
 	beforeSave []Message
-	// afterSave holds messages that depend on the next write: votes and acknowledgements.
+	// afterSave are messages that depend on the next write, such as votes and acknowledgements.
 	afterSave        []Message
 	readStates       []ReadState
 	hardStateUnsaved bool
 }
 
-// sendBeforeSave sends a message that does not depend on the next write.
+// sendBeforeSave adds a message to MessagesBeforeSave of the next Ready. It must not depend on unsaved state.
 func (r *Raft) sendBeforeSave(message Message) {
 	message.From = r.config.Self.ID
 	r.outbox.beforeSave = append(r.outbox.beforeSave, message)
 }
 
-// sendAfterSave sends a message once the present state is on disk.
+// sendAfterSave adds a message to MessagesAfterSave of the next Ready. It is sent once the current state is on disk.
 func (r *Raft) sendAfterSave(message Message) {
 	message.From = r.config.Self.ID
 	r.outbox.afterSave = append(r.outbox.afterSave, message)
 }
 
-// Ready returns what has come up to be done since the last call. The caller owns the result.
+// Ready returns what the caller has to do as a result of the calls since the last Ready. The caller owns the result.
 func (r *Raft) Ready() Ready {
 	out := r.outbox
 	r.outbox = outbox{}
 	ready := Ready{MessagesBeforeSave: out.beforeSave, MessagesAfterSave: out.afterSave, ReadStates: out.readStates}
 	if out.hardStateUnsaved {
 		ready.HardState = &HardState{Term: r.term, Vote: r.vote}
-		// A sole voter becomes leader before its term is on disk. No message may carry a term that could be used again after a restart.
+		// A sole voter becomes leader before its term is on disk. No message may carry a term that is not saved: after a crash the member
+		// could lead in the same term again.
 		ready.MessagesBeforeSave, ready.MessagesAfterSave = nil, append(ready.MessagesBeforeSave, ready.MessagesAfterSave...)
 	}
 	ready.Snapshot = r.log.takeUnsavedSnapshot()
-	ready.Entries = r.log.takeUnsaved()
-	ready.CommittedEntries = r.log.takeCommitted()
+	ready.Entries = r.log.takeUnsavedEntries()
+	ready.CommittedEntries = r.log.takeCommittedEntries()
 	if r.leave.granted {
-		// This process may end at any moment, so nobody may rely on its messages.
+		// This process may stop at any moment, so no other member may rely on its messages.
 		ready.MessagesBeforeSave, ready.MessagesAfterSave = nil, nil
 	}
 	for _, messages := range [][]Message{ready.MessagesBeforeSave, ready.MessagesAfterSave} {
--- a/internal/mesh/raft/replication.go
+++ b/internal/mesh/raft/replication.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Bounds of the entries in one message, and of those in flight to one peer, in bytes. A message may hold one entry of any size. A heartbeat
-// never waits behind more than maxInflightBytes.
+// Limits on the entries in one message, and on the bytes of entries in flight to one peer. A single entry of any size may be sent in one
+// message. A heartbeat never waits behind more than maxInflightBytes.
 const (
 	maxEntriesPerMessage = 256
 	maxBytesPerMessage   = 32 << 10
 	maxInflightBytes     = 64 << 10
 )
 
-// Propose appends a command to the leader's log. ok is false if this member does not lead. The command is committed once Ready returns the
-// entry with this index and term among CommittedEntries, and lost if it returns one of another term at the index. Flush sends it.
+// Propose appends a command to the leader's log. ok is false if this member does not lead or is transferring leadership. The command is
+// committed once Ready returns the entry with this index and term among CommittedEntries. It is lost if Ready returns an entry of another
+// term at the index. Flush sends it to the other members.
 func (r *Raft) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	r.advanceTime(now)
 	if r.role != leader || r.isTransferringLeadership() {
@@ -24,7 +25,7 @@
 	return entry.Index, entry.Term, true
 }
 
-// Flush sends what was proposed since the last call, so that several proposals are sent together.
+// Flush sends the entries proposed since the last call. Callers propose several commands before a Flush to send them in one message.
 func (r *Raft) Flush() {
 	if r.role != leader {
 		return
@@ -44,8 +45,8 @@
 	}
 }
 
-// LogTime returns the log's own time now, at the leader. It continues from the last entry of the previous leader, so it never goes back and
-// never runs faster than real time. The result means nothing on a member that does not lead.
+// LogTime returns the current logical time of the log, at the leader. It continues from the last entry of the previous leader, so it never
+// goes back and never runs faster than real time. The result is meaningless on a member that does not lead.
 func (r *Raft) LogTime(now time.Duration) time.Duration {
 	r.advanceTime(now)
 	return max(r.log.lastLogTime(), r.leading.logTimeAtElection+r.now-r.leading.electedAt)
@@ -57,13 +58,13 @@
 	return r.role == leader && term == r.term
 }
 
-// IsRecentlyActive reports whether the leader has heard from a member in the last election timeout.
+// IsRecentlyActive reports whether the leader has heard from a member within the last election timeout.
 func (r *Raft) IsRecentlyActive(id ID) bool {
-	return id == r.config.Self.ID || r.peers.heardAfter(id, r.now-r.config.ElectionTimeout)
+	return id == r.config.Self.ID || r.peers.contactedAfter(id, r.now-r.config.ElectionTimeout)
 }
 
 // TransferLeadership asks the member with the longest matching log to start an election, because this leader is about to stop
-// (dissertation, section 3.10). If the message is lost this member simply goes on leading.
+// (dissertation, section 3.10). If the message is lost, this member remains the leader.
 func (r *Raft) TransferLeadership(now time.Duration) {
 	r.advanceTime(now)
 	if r.role != leader {
@@ -74,7 +75,7 @@
 	}
 }
 
-// transferTarget returns the member with the longest matching log among those that are active and do not leave, or nil if there is none.
+// transferTarget returns the member with the longest matching log among those that are active and not leaving, or nil if there is none.
 func (r *Raft) transferTarget() (target *progress) {
 	for _, member := range r.log.configuration.Members {
 		p := r.peers.get(member.ID)
@@ -102,7 +103,7 @@
 	return entry
 }
 
-// broadcastHeartbeat begins a round of heartbeats: each peer is sent the entries that it lacks, or a message without any.
+// broadcastHeartbeat begins a heartbeat round: it sends each peer the entries that the peer lacks, or an empty AppendEntries.
 func (r *Raft) broadcastHeartbeat() {
 	r.leading.heartbeatRound++
 	r.leading.nextHeartbeatAt = r.now + r.config.HeartbeatInterval
@@ -128,7 +129,7 @@
 	})
 }
 
-// replicateTo sends a peer what it lacks, within the bounds of what may be in flight.
+// replicateTo sends a peer the entries or the snapshot that it lacks, within the limits of what may be in flight.
 func (r *Raft) replicateTo(p *progress) {
 	if r.needsSnapshot(p) {
 		r.sendSnapshot(p)
@@ -137,8 +138,8 @@
 	}
 }
 
-// sendEntries sends entries, or a heartbeat where enough are in flight. It does not wait for responses in between: the loss of an entry is
-// detected when those after it are rejected (dissertation, section 10.2.2: pipelining).
+// sendEntries sends the next entries to a peer, or a heartbeat if enough entries are in flight. It does not wait for responses to earlier
+// messages: if one is lost, the peer rejects the entries after it (dissertation, section 10.2.2: pipelining).
 func (r *Raft) sendEntries(p *progress) {
 	previous := p.next - 1
 	previousTerm, _ := r.log.termAt(previous)
@@ -156,7 +157,7 @@
 	}
 	if n := len(message.Entries); n > 0 {
 		p.next += uint64(n)
-		p.inflight = append(p.inflight, inflightAppend{lastIndex: p.next - 1, bytes: sizeOf(message.Entries)})
+		p.inflight = append(p.inflight, inflightAppend{lastIndex: p.next - 1, bytes: totalEntryBytes(message.Entries)})
 	}
 	p.transfer = nil
 	p.wholeSnapshotSentAt = 0
@@ -175,7 +176,7 @@
 	return slices.Clone(entries[:n])
 }
 
-// handleAppendResponse records what a peer has, and sends it what it lacks.
+// handleAppendResponse records the acknowledgement or rejection of a peer, and sends the peer what it lacks.
 func (r *Raft) handleAppendResponse(m Message) {
 	p := r.peers.get(m.From)
 	if r.role != leader || p == nil {
@@ -183,7 +184,7 @@
 	}
 	p.recordContact(r.now, m)
 	p.answeredRound = max(p.answeredRound, m.HeartbeatRound)
-	p.recordReturn(m)
+	p.recordRestart(m)
 	if m.Reject {
 		r.handleRejection(p, m.Hint)
 	} else {
@@ -193,8 +194,8 @@
 	r.grantLeaves()
 }
 
-// handleRejection goes back to where a peer's log may agree, but not before what it has acknowledged. Only one attempt is made until it is
-// answered or a heartbeat is due, since the peer will also reject everything that was in flight.
+// handleRejection moves next back to where the peer's log may agree, but not before the entries that the peer has acknowledged. Only one
+// attempt is made until the peer answers or a heartbeat is due, since the peer will also reject all messages that were in flight.
 func (r *Raft) handleRejection(p *progress, hint uint64) {
 	p.next = max(p.match+1, min(hint+1, r.log.lastIndex()+1))
 	p.inflight = nil
@@ -204,7 +205,8 @@
 	}
 }
 
-// handleAcknowledgement records that a peer has the log on disk up to an index, commits what that decides, and sends the peer what follows.
+// handleAcknowledgement records that a peer has the log on disk up to an index, advances the commit index, and sends the entries that
+// follow.
 func (r *Raft) handleAcknowledgement(p *progress, index uint64) {
 	p.acknowledge(index)
 	p.next = max(p.next, p.match+1)
@@ -215,9 +217,9 @@
 	}
 }
 
-// advanceCommit commits what a quorum has on disk. Only entries of the leader's own term are committed by counting replicas, and all
-// earlier entries with them: an entry of an earlier term may be on a majority of disks and still be replaced by a leader that lacks it
-// (Raft paper, section 5.4.2).
+// advanceCommit commits the entries that a quorum has on disk. Only entries of the leader's own term are committed by counting replicas;
+// all earlier entries are committed with them. An entry of an earlier term may be on a majority of disks and still be replaced by a
+// leader that lacks it (Raft paper, section 5.4.2).
 func (r *Raft) advanceCommit() {
 	for index := r.log.lastIndex(); index > r.log.committed; index-- {
 		if term, _ := r.log.termAt(index); term != r.term {
@@ -232,7 +234,7 @@
 	}
 }
 
-// matchIndex returns up to which index a voter has the leader's log on disk. The leader's own disk may lag behind those of its peers
+// matchIndex returns the index up to which a voter has the leader's log on disk. The leader's own disk may lag behind those of its peers
 // (dissertation, section 10.2.1).
 func (r *Raft) matchIndex(id ID) uint64 {
 	if id == r.config.Self.ID {
@@ -244,7 +246,7 @@
 	return 0
 }
 
-// hasCommittedOwnTerm reports whether an entry of the leader's own term is committed. Until then it does not know what earlier
+// hasCommittedOwnTerm reports whether an entry of the leader's own term is committed. Until then the leader does not know what earlier
 // leaders have committed (Raft paper, section 8).
 func (r *Raft) hasCommittedOwnTerm() bool {
 	term, _ := r.log.termAt(r.log.committed)
--- a/internal/mesh/raft/replication_test.go
+++ b/internal/mesh/raft/replication_test.go
@@ -76,7 +76,7 @@
 	bytes := 0
 	for _, m := range model.network {
 		if m.To == 2 {
-			bytes += sizeOf(m.Entries)
+			bytes += totalEntryBytes(m.Entries)
 		}
 	}
 	assert.Assert(t, bytes >= maxInflightBytes && bytes <= maxInflightBytes+maxBytesPerMessage, "%d", bytes)
--- a/internal/mesh/raft/search_state_test.go
+++ b/internal/mesh/raft/search_state_test.go
@@ -117,7 +117,7 @@
 	for _, p := range r.peers {
 		h.numbers(uint64(p.ID), p.match, p.next)
 		h.flags(p.isJoining, p.leaveGranted)
-		h.numbers(uint64(p.leavingAt))
+		h.numbers(uint64(p.lastLeaveRequestAt))
 		if p.transfer != nil {
 			h.numbers(p.transfer.snapshot.Index, p.transfer.sentBytes, p.transfer.ackedBytes)
 		}
--- a/internal/mesh/raft/snapshot_receive.go
+++ b/internal/mesh/raft/snapshot_receive.go
@@ -2,21 +2,21 @@
 
 import "hash/crc32"
 
-// incomingSnapshot is a snapshot that is being received.
+// incomingSnapshot is a snapshot that is being received in chunks.
 type incomingSnapshot struct {
 	position   position
 	totalBytes uint64
 	checksum   uint32
-	data       []byte
+	data       []byte // received so far
 }
 
-// contains reports whether a chunk is part of the snapshot.
+// contains reports whether a chunk belongs to the snapshot.
 func (s *incomingSnapshot) contains(m Message) bool {
 	return s != nil && s.position == position{m.Snapshot.Index, m.Snapshot.Term} &&
 		s.totalBytes == m.TotalBytes && s.checksum == m.Checksum
 }
 
-// handleInstallSnapshot installs a snapshot that came in one message, unless everything in it is committed here already.
+// handleInstallSnapshot installs a snapshot that was sent in one message, unless this member has already committed everything in it.
 func (r *Raft) handleInstallSnapshot(m Message) {
 	if snapshot := m.Snapshot; snapshot != nil && snapshot.Index > r.log.committed && len(snapshot.Members) > 0 {
 		r.restoreSnapshot(*snapshot)
@@ -24,15 +24,15 @@
 	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed, HeartbeatRound: m.HeartbeatRound})
 }
 
-// handleSnapshotChunk adds a chunk if it is the next one, and asks for the next one if a chunk is missing before it. After the last
-// chunk the snapshot is installed, if its checksum is right.
+// handleSnapshotChunk appends a chunk if it is the next one, and asks for the missing data if it is a later one. After the last chunk it
+// installs the snapshot if the checksum matches, and otherwise asks for all the data again.
 func (r *Raft) handleSnapshotChunk(m Message) {
 	snapshot := m.Snapshot
 	if snapshot == nil || len(snapshot.Members) == 0 || m.TotalBytes > maxSnapshotBytes ||
 		m.Offset+uint64(len(snapshot.Data)) > m.TotalBytes {
 		return
 	}
-	if snapshot.Index <= r.log.committed { // installing it would undo what is committed
+	if snapshot.Index <= r.log.committed { // installing it would remove committed entries
 		r.incoming = nil
 		r.acknowledgeSnapshot(m)
 		return
@@ -57,7 +57,7 @@
 		return
 	}
 	r.incoming = nil
-	if crc32.Checksum(incoming.data, castagnoli) != incoming.checksum {
+	if crc32.Checksum(incoming.data, castagnoliTable) != incoming.checksum {
 		reply.Reject, reply.Offset = true, 0
 		r.sendAfterSave(reply)
 		return
@@ -68,12 +68,12 @@
 	r.acknowledgeSnapshot(m)
 }
 
-// acknowledgeSnapshot acknowledges the log up to the commit index, and not further: entries after the snapshot may be from another leader.
+// acknowledgeSnapshot acknowledges the log up to the commit index, and not beyond: later entries may be from another leader.
 func (r *Raft) acknowledgeSnapshot(m Message) {
 	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed})
 }
 
-// restoreSnapshot replaces the log by a snapshot. The next Ready hands it out, to be on disk before it is acknowledged.
+// restoreSnapshot replaces the log with a snapshot. The next Ready returns it, so that it is on disk before it is acknowledged.
 func (r *Raft) restoreSnapshot(snapshot Snapshot) {
 	r.log.restore(snapshot)
 	r.incoming = nil
--- a/internal/mesh/raft/snapshot_send.go
+++ b/internal/mesh/raft/snapshot_send.go
@@ -6,21 +6,21 @@
 )
 
 // Snapshots are sent in chunks, of which at most maxInflightChunks are in flight to a peer, so that a heartbeat never waits behind more
-// than 64 KiB (0.26 s on a link of 2 Mbit/s). A transfer continues with the snapshot that it began with, whatever is compacted
-// meanwhile. For that, the log after the snapshot is kept, up to as many bytes as the snapshot has; if more is written during the
-// transfer, it starts again with the latest snapshot. A receiver that restarts begins at the first chunk again. A receiver with a new
-// leader continues where it was if the new leader's snapshot is the same.
+// than 64 KiB (0.26 s on a link of 2 Mbit/s). A transfer continues with the snapshot that it began with, even if the log is compacted
+// meanwhile. For that, the entries after the snapshot are kept, up to the size of the snapshot; if more is written during the transfer,
+// it starts again with the latest snapshot. A receiver that restarts begins at the first chunk again. When the leader changes, a receiver
+// continues where it was if the new leader's snapshot is the same.
 const (
 	defaultSnapshotChunkBytes = 32 << 10
 	maxInflightChunks         = 2
 	maxSnapshotBytes          = 1 << 30 // a larger one is rejected
 )
 
-// wholeSnapshotResendFactor is after how many election timeouts a snapshot in one message is sent again. Peers of protocol version 0, which
-// has no chunks, get snapshots in this form.
+// wholeSnapshotResendFactor is the number of election timeouts after which a snapshot in one message is sent again. Peers of protocol
+// version 0, which has no chunks, are sent snapshots in this form.
 const wholeSnapshotResendFactor = 8
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // snapshotTransfer is a snapshot that is being sent to a peer.
 type snapshotTransfer struct {
@@ -28,14 +28,14 @@
 	checksum     uint32
 	ackedBytes   uint64
 	sentBytes    uint64
-	hasSentAny   bool          // a chunk was sent since the transfer began or was rewound: an empty snapshot needs one as well
-	progressedAt time.Duration // when it last began, was acknowledged further, or was rewound
+	hasSentAny   bool          // a chunk was sent since the start or last rewind; an empty snapshot needs one chunk, too
+	progressedAt time.Duration // when it started, last had new bytes acknowledged, or was last rewound
 }
 
 // totalBytes returns the size of the snapshot's data.
 func (t *snapshotTransfer) totalBytes() uint64 { return uint64(len(t.snapshot.Data)) }
 
-// rewind makes the transfer send everything from an offset on again.
+// rewind restarts the transfer from an offset.
 func (t *snapshotTransfer) rewind(offset uint64, now time.Duration) {
 	offset = min(offset, t.totalBytes())
 	t.ackedBytes, t.sentBytes = offset, offset
@@ -51,18 +51,18 @@
 	t.progressedAt = now
 }
 
-// mayContinue reports whether a transfer may continue: the log still reaches back to the end of its snapshot.
+// mayContinue reports whether a transfer exists and may continue, because the log still contains all entries after its snapshot.
 func (t *snapshotTransfer) mayContinue(l *raftLog) bool {
 	return t != nil && t.snapshot.Index >= l.start.index
 }
 
-// needsSnapshot reports whether the log no longer holds the next entry for a peer.
+// needsSnapshot reports whether the log no longer contains the entry before the next one for a peer, so that a snapshot has to be sent.
 func (r *Raft) needsSnapshot(p *progress) bool {
-	_, known := r.log.termAt(p.next - 1)
-	return !known
+	_, found := r.log.termAt(p.next - 1)
+	return !found
 }
 
-// sendSnapshot sends as much of a snapshot as may be in flight.
+// sendSnapshot sends a snapshot, or as many of its chunks as may be in flight, depending on the peer's protocol version.
 func (r *Raft) sendSnapshot(p *progress) {
 	switch {
 	case !p.hasAnswered: // its response to a heartbeat will carry its protocol version
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendWholeSnapshot sends a snapshot in one message, but does not repeat it with every heartbeat.
+// sendWholeSnapshot sends a snapshot in one message. It does not repeat it before wholeSnapshotResendFactor election timeouts have passed.
 func (r *Raft) sendWholeSnapshot(p *progress) {
 	if p.wholeSnapshotSentAt != 0 && r.now-p.wholeSnapshotSentAt <= wholeSnapshotResendFactor*r.config.ElectionTimeout {
 		return
@@ -90,7 +90,7 @@
 	})
 }
 
-// sendChunks sends the next chunks of a transfer, and begins one if there is none that may continue.
+// sendChunks sends the next chunks of a transfer, and starts a new transfer if none can be continued.
 func (r *Raft) sendChunks(p *progress) {
 	if !p.transfer.mayContinue(&r.log) {
 		p.transfer = r.beginTransfer()
@@ -119,7 +119,7 @@
 	}
 }
 
-// snapshotChunkBytes returns how many bytes of a snapshot's data one message holds.
+// snapshotChunkBytes returns how many bytes of a snapshot's data one message carries.
 func (r *Raft) snapshotChunkBytes() uint64 {
 	if r.config.SnapshotChunkBytes > 0 {
 		return uint64(r.config.SnapshotChunkBytes)
@@ -127,8 +127,8 @@
 	return defaultSnapshotChunkBytes
 }
 
-// beginTransfer starts a transfer. It uses the snapshot that is being sent to another peer, if there is one, so that at most two snapshots
-// are kept in memory.
+// beginTransfer starts a transfer. It uses the snapshot that is being sent to another peer, if there is one, so that at most two
+// snapshots are kept in memory.
 func (r *Raft) beginTransfer() *snapshotTransfer {
 	for _, p := range r.peers {
 		if other := p.transfer; other.mayContinue(&r.log) {
@@ -136,10 +136,10 @@
 		}
 	}
 	snapshot := r.log.snapshot
-	return &snapshotTransfer{snapshot: snapshot, checksum: crc32.Checksum(snapshot.Data, castagnoli), progressedAt: r.now}
+	return &snapshotTransfer{snapshot: snapshot, checksum: crc32.Checksum(snapshot.Data, castagnoliTable), progressedAt: r.now}
 }
 
-// handleSnapshotChunkResponse records how much of a snapshot a peer has, and sends the next chunks.
+// handleSnapshotChunkResponse records how much of a snapshot a peer has received, and sends the next chunks.
 func (r *Raft) handleSnapshotChunkResponse(m Message) {
 	p := r.peers.get(m.From)
 	if r.role != leader || p == nil {
@@ -158,7 +158,7 @@
 	r.sendSnapshot(p)
 }
 
-// oldestTransfer returns the index and size of the oldest snapshot that is being sent, or index 0 if none is.
+// oldestTransfer returns the index and size of the oldest snapshot that is being sent, or index 0 if there is no transfer.
 func (r *Raft) oldestTransfer() (index uint64, bytes int) {
 	for _, p := range r.peers {
 		if transfer := p.transfer; transfer != nil && (index == 0 || transfer.snapshot.Index < index) {
@@ -168,9 +168,10 @@
 	return index, bytes
 }
 
-// Compact replaces the log up to an applied index by a snapshot with data, the state machine at that index. It returns the snapshot for the
-// caller to write; entries before OldestRetainedIndex may be deleted from disk once it is on disk. An index that is not applied, or that
-// the latest snapshot covers, changes nothing: Compact then returns the latest snapshot. It keeps data, which the caller must not change.
+// Compact replaces the log up to an applied index with a snapshot, whose data is the encoded state machine at that index. It returns the
+// snapshot for the caller to write. Once it is on disk, entries before OldestRetainedIndex may be deleted from disk. If the index is not
+// applied, or the latest snapshot covers it, Compact changes nothing and returns the latest snapshot. The Raft keeps a reference to data,
+// so the caller must not modify it.
 func (r *Raft) Compact(index uint64, data []byte) Snapshot {
 	if index <= r.log.snapshot.Index || index > r.log.applied {
 		return r.log.snapshot
@@ -179,16 +180,16 @@
 	return r.log.snapshot
 }
 
-// catchUpStart returns where the log has to start after a compaction at an index: up to MaxCatchUpEntries before it, or as early as the
-// oldest transfer needs.
+// catchUpStart returns the index after which entries are kept by a compaction at an index: up to MaxCatchUpEntries before it, or as many as
+// the oldest transfer needs.
 func (r *Raft) catchUpStart(index uint64) uint64 {
 	transferIndex, transferBytes := r.oldestTransfer()
 	bytes, start := 0, index
 	for ; start > r.log.start.index; start-- {
 		bytes += entryBytes(r.log.entriesFrom(start)[0])
 		isCatchUp := index-start < uint64(r.config.MaxCatchUpEntries) && bytes <= maxCatchUpBytes
-		isTransferred := transferIndex > 0 && start > transferIndex && bytes <= max(maxCatchUpBytes, transferBytes)
-		if !isCatchUp && !isTransferred {
+		isNeededByTransfer := transferIndex > 0 && start > transferIndex && bytes <= max(maxCatchUpBytes, transferBytes)
+		if !isCatchUp && !isNeededByTransfer {
 			break
 		}
 	}
--- a/internal/mesh/raft/step.go
+++ b/internal/mesh/raft/step.go
@@ -4,9 +4,9 @@
 
 // Step handles a message from another member. Messages may be lost, delayed, duplicated and reordered.
 //
-// A message of a later term makes this member a follower of that term, and one of an earlier term is rejected, so that the leader of an
-// earlier term can't change anything here (Raft paper, section 5.1). The cases before these two are the messages that must not change
-// the term: those of non-members, those meant for another member, and pre-votes.
+// A message of a later term makes this member a follower in that term. A message of an earlier term is rejected, so that the leader of an
+// earlier term can't change this member's state (Raft paper, section 5.1). The cases before these two handle the messages that must not
+// change the term: messages about joining, messages meant for another member, and pre-votes.
 func (r *Raft) Step(now time.Duration, m Message) {
 	r.advanceTime(now)
 	switch {
@@ -14,7 +14,7 @@
 		r.handleJoinRequest(m)
 		return
 	case m.To != r.config.Self.ID:
-		return // meant for a member that was at this address before
+		return // meant for a member that used this address before
 	case m.Kind == NotMember:
 		r.handleNotMember(m)
 		return
@@ -37,14 +37,14 @@
 	r.stepCurrentTerm(m)
 }
 
-// rejectStaleTerm answers the sender of an earlier term with the current one (Raft paper, section 5.1).
+// rejectStaleTerm tells the sender of a request with an earlier term the current term (Raft paper, section 5.1).
 func (r *Raft) rejectStaleTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries, InstallSnapshot, SnapshotChunk:
 		r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Reject: true, Hint: r.log.lastIndex()})
 	case RequestVote:
 		r.sendAfterSave(Message{Kind: VoteResponse, To: m.From, Term: r.term, Reject: true})
-	default: // responses and requests to the leader of an earlier term
+	default: // responses, and requests to the leader of an earlier term, are ignored
 	}
 }
 
@@ -74,11 +74,12 @@
 		r.handleLeaveRequest(m)
 	case LeaveGranted:
 		r.handleLeaveGranted(m)
-	case JoinRequest, NotMember, PreVote, PreVoteResponse: // Step handles these whatever their term
+	case JoinRequest, NotMember, PreVote, PreVoteResponse: // handled by Step regardless of their term
 	}
 }
 
-// Tick does what is due by time. It has to be called several times in each heartbeat interval.
+// Tick performs the time-driven actions that are due, such as heartbeats and elections. It has to be called several times in each
+// heartbeat interval.
 func (r *Raft) Tick(now time.Duration) {
 	r.advanceTime(now)
 	if r.leave.requested {
@@ -98,14 +99,15 @@
 	if r.mustJoin() {
 		r.resetElectionDeadline()
 	} else {
-		r.campaign(campaignPreElection)
+		r.campaign(campaignPreVote)
 	}
 }
 
-// tickLeader sends heartbeats that are due. A leader that has not heard from a quorum for long steps down, so that clients look for another
-// (dissertation, section 6.2). A new leader has as long to hear from one.
+// tickLeader sends heartbeats that are due, and maintains the membership. A leader that has not heard from a quorum for the check-quorum
+// timeout steps down, so that clients look for another leader (dissertation, section 6.2). For a new leader the timeout starts with its
+// election.
 func (r *Raft) tickLeader() {
-	span := r.config.checkQuorumSpan()
+	span := r.config.checkQuorumTimeout()
 	if r.now-r.leading.electedAt > span && !r.isQuorumActive(r.now, span) {
 		r.changeRole(follower, r.term, 0)
 		return
@@ -117,8 +119,9 @@
 	r.maintainMembership()
 }
 
-// changeRole changes the role and, if it is a later one, the term. A new term begins without a vote; term and vote are on disk before any
-// message of the term is sent. Pending reads of a leader that steps down are rejected, because its heartbeats prove nothing any more.
+// changeRole changes the role and, if the given term is later, the term. A new term begins without a vote; term and vote are on disk before
+// any message of the term is sent. If a leader steps down, its pending reads are rejected: responses to its heartbeats no longer prove that
+// it leads.
 func (r *Raft) changeRole(to role, term uint64, leaderID ID) {
 	if term > r.term {
 		r.term, r.vote = term, 0
