--- a/internal/mesh/raft/election.go
+++ b/internal/mesh/raft/election.go
@@ -71,7 +71,7 @@
 
 // hasActiveLeader reports whether this member leads, or has heard from its leader within the last election timeout.
 func (r *Raft) hasActiveLeader() bool {
-	return r.role == leader || r.leaderID != 0 && r.now-r.leaderContact.lastContactAt < r.config.ElectionTimeout
+	return r.role == leader || r.leaderID != 0 && r.now-r.following.lastContactAt < r.config.ElectionTimeout
 }
 
 // isUpToDate reports whether the log of the sender of a pre-vote or vote request is at least as up to date as this member's log. Because
--- a/internal/mesh/raft/election_test.go
+++ b/internal/mesh/raft/election_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Members that start together after a loss of power, in any order and within 0.3 s, soon have a leader again, though the first
-// messages of each go to members that are not there yet, and though one may lack entries.
+// After a power failure all members start within 0.3 s of each other, in any order. They must soon elect a leader, although the first
+// messages of a member are lost if their receiver has not started yet, and although one member may lack entries.
 func TestMembersStartTogether(t *testing.T) {
 	const step, spread = 10 * time.Millisecond, 300 * time.Millisecond
-	var took []time.Duration
+	var elapsed []time.Duration
 	for seed := uint64(1); seed <= 300; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		sim := newSimulation(t, seed, "a", "b", "c")
@@ -47,15 +47,15 @@
 				t.Fatalf("seed %d: no leader", seed)
 			}
 		}
-		took = append(took, sim.now-last)
+		elapsed = append(elapsed, sim.now-last)
 	}
-	slices.Sort(took)
-	assert.Assert(t, took[len(took)/2] < testElectionTimeout/4, "in the median %v after the last start", took[len(took)/2])
-	t.Logf("a leader %v after the last start (median), at most %v", took[len(took)/2], took[len(took)-1])
+	slices.Sort(elapsed)
+	assert.Assert(t, elapsed[len(elapsed)/2] < testElectionTimeout/4, "in the median %v after the last start", elapsed[len(elapsed)/2])
+	t.Logf("a leader %v after the last start (median), at most %v", elapsed[len(elapsed)/2], elapsed[len(elapsed)-1])
 }
 
-// Once the leader's process is known to have ended another leads long before the election timeout, in every order of the members,
-// also where the first to ask lacks entries. Without that knowledge none leads sooner than the timeout.
+// Once the exit of the leader's process is reported, another member leads long before the election timeout, whatever the order of the
+// members, even if the first candidate lacks entries. Without the report no member leads before the election timeout.
 func TestExitedLeaderIsReplacedSoon(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		for _, isReported := range []bool{true, false} {
@@ -72,7 +72,7 @@
 			sim.endProcess(old, isReported)
 			sim.run(300 * time.Millisecond)
 			if now := sim.leaderAddr(); (now != "") != isReported {
-				t.Fatalf("seed %d: exit reported %v, and %q leads in the place of %q after 300 ms", seed, isReported, now, old)
+				t.Fatalf("seed %d: exit reported: %v; 300 ms after the exit of leader %[4]q the leader is %[3]q", seed, isReported, now, old)
 			}
 			sim.run(3 * time.Second)
 			assert.Assert(t, sim.leaderAddr() != "")
@@ -80,8 +80,8 @@
 	}
 }
 
-// The first pre-vote may be rejected because the other member does not know yet that the leader is gone. If the other lacks entries it
-// can't be elected itself, and its own pre-vote makes the first ask again at once.
+// The first pre-vote may be rejected because the other member has not learned of the leader's exit. If the other member lacks entries, it
+// can't be elected, and its own pre-vote must make the first member ask again at once.
 func TestLeaderExitReportedLate(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
@@ -109,7 +109,7 @@
 	}
 }
 
-// A wrong report that the leader has exited does no harm: a leader that is alive keeps its term as long as a majority hears it.
+// A wrong report that the leader has exited does no harm: a running leader keeps its term as long as a majority receives its heartbeats.
 func TestLeaderExitReportedWrongly(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
@@ -129,8 +129,8 @@
 	}
 }
 
-// A leader that asks for pre-votes has restarted: its followers grant them without waiting for the election timeout.
-func TestLeaderThatAsksForVotesHasRestarted(t *testing.T) {
+// A leader that asks for pre-votes must have restarted, so its followers grant them without waiting for the election timeout.
+func TestPreVoteOfLeaderShowsRestart(t *testing.T) {
 	sim := newSimulation(t, 1, "a", "b", "c")
 	sim.run(3 * time.Second)
 	old := sim.leaderAddr()
@@ -140,7 +140,7 @@
 	}
 	id, last := sim.members[old].self.ID, other.raft.log.lastIndex()
 	request := Message{Kind: PreVote, From: id, To: other.self.ID, Index: last, LogTerm: other.raft.log.lastTerm()}
-	request.Term = other.raft.Term() // from before it led: late
+	request.Term = other.raft.Term() // a delayed request from before it became leader
 	other.raft.Step(sim.now, request)
 	assert.Equal(t, other.raft.Leader(), id)
 	request.Term++
@@ -151,14 +151,14 @@
 	assert.Assert(t, response.Kind == PreVoteResponse && !response.Reject)
 }
 
-// A member that stalls for less than the election timeout, on its disk or for lack of processor time, does not cause an election,
-// whether it is the leader or a follower.
-func TestShortStallKeepsTheLeader(t *testing.T) {
-	// A heartbeat may have been due just then, and takes a while.
+// A leader or follower that stalls for less than the election timeout, for example on a slow disk or without processor time, must not
+// cause an election.
+func TestShortStallCausesNoElection(t *testing.T) {
+	// The last heartbeat may be almost an interval old when the stall begins, and the next one takes up to 20 ms to arrive.
 	const stall = testElectionTimeout - testHeartbeatInterval - 20*time.Millisecond
 	for seed := uint64(1); seed <= 40; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
-		sim.run(3*time.Second + time.Duration(seed)*testHeartbeatInterval) // other waits are drawn
+		sim.run(3*time.Second + time.Duration(seed)*testHeartbeatInterval) // so that other random delays are drawn
 		old := sim.leaderAddr()
 		term := sim.members[old].raft.Term()
 		for _, a := range sim.addrs() {
@@ -172,24 +172,26 @@
 	}
 }
 
-// Members that miss a silent leader together ask in the order of their rank: the first election decides, in a bounded time.
+// Members that lose contact with the leader at the same time campaign in the order of their rank, so that the first election succeeds
+// within a bounded time.
 func TestSilentLeaderIsReplacedInOneElection(t *testing.T) {
-	const bound = testElectionTimeout + testElectionTimeout/5 // of the first in the list, with its ticks and messages
+	// The election timeout of the member with the lowest rank, and time for its ticks and messages.
+	const bound = testElectionTimeout + testElectionTimeout/5
 	for seed := uint64(1); seed <= 40; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
-		sim.run(3*time.Second + time.Duration(seed)*testHeartbeatInterval) // other waits are drawn
+		sim.run(3*time.Second + time.Duration(seed)*testHeartbeatInterval) // so that other random delays are drawn
 		old := sim.leaderAddr()
 		term := sim.members[old].raft.Term()
 		sim.isolated[old] = true
 		sim.run(bound)
 		now := sim.leaderAddr()
-		assert.Assert(t, now != "", "seed %d: none leads after %v", seed, bound)
+		assert.Assert(t, now != "", "seed %d: no leader after %v", seed, bound)
 		assert.Equal(t, sim.members[now].raft.Term(), term+1, "seed %d", seed)
 	}
 }
 
-// A leader whose messages arrive but that receives none steps down, and has no quorum contact.
-func TestLeaderThatHearsNobodyStepsDown(t *testing.T) {
+// A leader that receives no messages, although its own arrive, steps down and reports no quorum contact.
+func TestLeaderWithoutQuorumContactStepsDown(t *testing.T) {
 	sim := newSettledSimulation(t, 4, "a", "b", "c")
 	leader := sim.leader()
 	for _, a := range sim.addrs() {
@@ -216,9 +218,9 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// A member that has voted in a term and comes back with a log that is older than its vote votes for no other member in that term, is
-// not elected with that log, and catches up.
-func TestLogOlderThanVote(t *testing.T) {
+// A member that restarts with its vote but an older log, as after a partial loss of its disk, votes for no other member in the same term,
+// is not elected with that log, and catches up.
+func TestVoterRestartsWithOlderLog(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	third := model.nodes[2]
 	log := third.log
@@ -230,9 +232,9 @@
 	third.start()
 	third.raft.Step(third.now, Message{Kind: RequestVote, From: 1, To: 3, Term: 4, Index: 9, LogTerm: 3})
 	ready := third.raft.Ready()
-	assert.Assert(t, len(ready.MessagesAfterSave) == 1 && ready.MessagesAfterSave[0].Reject, "it has voted for 2")
-	for range 3 { // it asks, and nobody votes for it
-		model.missLeader(t, 2)
+	assert.Assert(t, len(ready.MessagesAfterSave) == 1 && ready.MessagesAfterSave[0].Reject, "it has already voted for member 2 in this term")
+	for range 3 { // it campaigns, and no member votes for it
+		model.expireElectionTimeout(t, 2)
 		deliverAll(t, model)
 		assert.Assert(t, !third.raft.IsLeader())
 	}
--- a/internal/mesh/raft/follower.go
+++ b/internal/mesh/raft/follower.go
@@ -8,8 +8,8 @@
 	}
 	isNew := r.leaderID != m.From
 	r.leaderID = m.From
-	r.leaderContact.lastContactAt = r.now
-	r.leaderContact.protocolVersion = m.ProtocolVersion
+	r.following.lastContactAt = r.now
+	r.following.protocolVersion = m.ProtocolVersion
 	r.resetElectionDeadline()
 	if isNew && r.leave.requested {
 		r.leave.requestedAt = 0 // the new leader does not know yet that this member is leaving
@@ -20,7 +20,7 @@
 // recordCatchUp records the time if this member has committed all that the leader had committed when it sent the message.
 func (r *Raft) recordCatchUp(m Message) {
 	if r.log.committed >= m.Commit {
-		r.leaderContact.caughtUpAt = r.now
+		r.following.caughtUpAt = r.now
 	}
 }
 
--- a/internal/mesh/raft/golden_test.go
+++ b/internal/mesh/raft/golden_test.go
@@ -15,14 +15,14 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// goldenRecord is what one run did: how many Readys it gave, and a hash of all of them in order.
+// goldenRecord summarizes one run: the number of Readys, and a hash of all of them in order.
 type goldenRecord struct {
 	Run    string `json:"run"`
 	Readys int    `json:"readys"`
 	SHA256 string `json:"sha256"` // the first 16 hexadecimal digits
 }
 
-// recorder hashes actions by their values only, numbers and bytes, so that no identifier of the code is part of the hash.
+// recorder hashes Readys by their numbers and bytes only, so that renaming an identifier does not change the hash.
 type recorder struct {
 	hash   hash.Hash
 	buffer []byte
@@ -31,7 +31,7 @@
 
 func newRecorder() *recorder { return &recorder{hash: sha256.New()} }
 
-// record ends one run.
+// record returns the record of a finished run.
 func (r *recorder) record(run string) goldenRecord {
 	return goldenRecord{Run: run, Readys: r.readys, SHA256: hex.EncodeToString(r.hash.Sum(nil))[:16]}
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// ready hashes what one member is to do.
+// ready hashes a Ready of one member.
 func (r *recorder) ready(id ID, ready Ready) {
 	r.readys++
 	r.numbers(uint64(id))
@@ -124,7 +124,7 @@
 	r.flush()
 }
 
-// state hashes what one member says of itself.
+// state hashes the results of a member's accessors.
 func (r *recorder) state(id ID, member *Raft, now time.Duration) {
 	members, index := member.Members()
 	r.numbers(uint64(id), member.Term(), uint64(member.Leader()), member.AppliedIndex(), member.LastIndex(), index,
@@ -143,8 +143,8 @@
 	r.buffer = r.buffer[:0]
 }
 
-// goldenSchedule plays a random schedule, and between its events has members transfer leadership, broadcast what is committed, and
-// learn that the leader's process has ended, whether or not that is so.
+// goldenSchedule runs a random schedule. Between its events members transfer leadership, broadcast the commit index, and are told that the
+// leader's process has ended, whether or not that is true.
 func goldenSchedule(t *testing.T, seed uint64) goldenRecord {
 	recorder := newRecorder()
 	schedule := newRandomSchedule(seed, 3, 2)
@@ -163,9 +163,9 @@
 		case 1:
 			member.raft.BroadcastCommit(schedule.now)
 		case 2:
-			wait, followed := member.raft.ReportLeaderExited(schedule.now, member.raft.Leader())
+			wait, isLeader := member.raft.ReportLeaderExited(schedule.now, member.raft.Leader())
 			recorder.duration(wait)
-			recorder.flags(followed)
+			recorder.flags(isLeader)
 		case 3:
 			recorder.duration(member.raft.LogTime(schedule.now))
 		}
@@ -177,19 +177,19 @@
 	return recorder.record(fmt.Sprint("schedule ", seed))
 }
 
-// goldenMixedVersions plays members of both protocol versions on links that lose messages: members that lag are sent a snapshot,
-// one loses its disk, and one is told to stop.
+// goldenMixedVersions runs members of both protocol versions on links that lose messages: a lagging member is sent a snapshot, then loses
+// its disk, and another member leaves. The bits of mask select the members of protocol version 0.
 func goldenMixedVersions(t *testing.T, mask int) goldenRecord {
 	recorder := newRecorder()
 	sim := newSimulation(t, uint64(900+mask), "a", "b", "c")
 	sim.observe = func(member *testMember, ready Ready) { recorder.ready(member.self.ID, ready) }
 	sim.startLegacy(mask)
 	sim.loss = 0.05
-	lags := sim.isolateFollower(30, 5, 10<<10)
-	delete(sim.isolated, lags)
+	laggingAddr := sim.isolateFollower(30, 5, 10<<10)
+	delete(sim.isolated, laggingAddr)
 	sim.run(4 * time.Second)
 	sim.write("after the snapshot")
-	sim.startEmpty(lags, 50)
+	sim.startEmpty(laggingAddr, 50)
 	sim.run(4 * time.Second)
 	sim.write("after the loss of a disk")
 	sim.leave(sim.follower(), time.Second)
@@ -200,8 +200,8 @@
 	return recorder.record(fmt.Sprintf("versions %03b", mask))
 }
 
-// TestGolden shows that the same events give the same actions as when testdata/golden.json was written, byte for byte. After a change of
-// behaviour that is meant: go test -run TestGolden -update.
+// The same events must give the same Readys, byte for byte, as when testdata/golden.json was written. After an intended change of
+// behaviour run go test -run TestGolden -update.
 func TestGolden(t *testing.T) {
 	var records []goldenRecord
 	for seed := range uint64(40) {
--- a/internal/mesh/raft/join.go
+++ b/internal/mesh/raft/join.go
@@ -25,7 +25,8 @@
 }
 
 // handleNotMember records a NotMember message if its configuration is later than this member's. The voters in the message are only asked to
-// let this member join. For counting votes, this member keeps using the configuration of its log (Raft paper, section 6).
+// let this member join. For counting votes, this member keeps using the configuration of its log, since only the log is known to be agreed
+// upon (Raft paper, section 6).
 func (r *Raft) handleNotMember(m Message) {
 	if m.ConfigurationIndex > r.log.configuration.Index {
 		r.join.notMemberNoticeAt = max(r.now, 1)
@@ -53,7 +54,7 @@
 // requestJoin sends JoinRequest to all known voters. The caller of this package sends it to members of which only the address is known.
 func (r *Raft) requestJoin() {
 	hasRequestedLately := r.join.requestedAt > 0 && r.now-r.join.requestedAt < r.config.joinRequestInterval()
-	isFollowing := r.now-r.leaderContact.lastContactAt < r.config.leaderContactTimeout() && !r.IsNonMember()
+	isFollowing := r.now-r.following.lastContactAt < r.config.leaderContactTimeout() && !r.IsNonMember()
 	if hasRequestedLately || isFollowing {
 		return
 	}
--- a/internal/mesh/raft/leave.go
+++ b/internal/mesh/raft/leave.go
@@ -43,7 +43,7 @@
 	case r.role == leader && r.areAllVotersLeaving():
 		return true
 	}
-	return r.role == follower && r.leaderID != 0 && r.leaderContact.protocolVersion < versionWithLeave
+	return r.role == follower && r.leaderID != 0 && r.following.protocolVersion < versionWithLeave
 }
 
 // advanceLeave sends LeaveRequest to the leader, or transfers leadership if this member leads.
@@ -61,7 +61,7 @@
 			r.leave.requestedAt = max(r.now, 1)
 			r.TransferLeadership(r.now)
 		}
-	case r.role == follower && r.leaderID != 0 && r.leaderContact.protocolVersion >= versionWithLeave:
+	case r.role == follower && r.leaderID != 0 && r.following.protocolVersion >= versionWithLeave:
 		r.leave.requestedAt = max(r.now, 1)
 		r.sendAfterSave(Message{Kind: LeaveRequest, To: r.leaderID, Term: r.term})
 	}
--- a/internal/mesh/raft/leave_test.go
+++ b/internal/mesh/raft/leave_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A member that leaves is granted that only once the members that stay hold everything that it holds. 50 ms later another disk is lost.
-// Either the leader or a follower leaves, and the third member lagged before.
+// A leaving member is granted leave only once the remaining members have everything that is committed on disk, so that the loss of another
+// disk 50 ms later loses nothing. Either the leader or a follower leaves, and the third member lagged before.
 func TestLeaveThenDiskLoss(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulation(t, 300+seed, "a", "b", "c")
@@ -19,26 +19,26 @@
 		sim.write("one")
 		lead := sim.leader().self.Addr
 		others := sim.othersThan(lead)
-		lags, leaves, stays := others[0], others[1], lead
+		laggingAddr, leavingAddr, stayingAddr := others[0], others[1], lead
 		if seed%2 == 0 {
-			leaves, stays = lead, others[1]
+			leavingAddr, stayingAddr = lead, others[1]
 		}
-		sim.isolated[lags] = true
+		sim.isolated[laggingAddr] = true
 		for n := range 5 {
 			sim.write(fmt.Sprint("while it lags ", n))
 		}
-		assert.Assert(t, !sim.leave(leaves, 300*time.Millisecond), "what it holds is on one other disk")
-		delete(sim.isolated, lags)
-		assert.Assert(t, sim.leave(leaves, 3*time.Second))
-		assert.Assert(t, sim.holdsAcknowledged(lags) && sim.holdsAcknowledged(stays))
-		gone := sim.members[leaves]
-		delete(sim.members, leaves)
+		assert.Assert(t, !sim.leave(leavingAddr, 300*time.Millisecond), "granted leave while only one other disk has the latest entries")
+		delete(sim.isolated, laggingAddr)
+		assert.Assert(t, sim.leave(leavingAddr, 3*time.Second))
+		assert.Assert(t, sim.storesAcknowledged(laggingAddr) && sim.storesAcknowledged(stayingAddr))
+		gone := sim.members[leavingAddr]
+		delete(sim.members, leavingAddr)
 		sim.run(50 * time.Millisecond)
 		sim.write("without it")
-		sim.startEmpty(stays, 20) // the disk of the one that had the other copy is lost
+		sim.startEmpty(stayingAddr, 20) // the other member that never lagged loses its disk
 		sim.run(100 * time.Millisecond)
-		assert.Assert(t, sim.holdsAcknowledged(lags))
-		sim.members[leaves], gone.now = gone, sim.now
+		assert.Assert(t, sim.storesAcknowledged(laggingAddr))
+		sim.members[leavingAddr], gone.now = gone, sim.now
 		gone.start()
 		sim.run(4 * time.Second)
 		sim.write("after it")
@@ -46,28 +46,28 @@
 	}
 }
 
-// Nothing that is acknowledged after a member was granted leave depends on it, although it still runs.
-func TestNothingRestsOnMemberWithLeave(t *testing.T) {
+// After a member was granted leave, no entry is committed by counting its acknowledgements, although it still runs.
+func TestMemberGrantedLeaveDoesNotCount(t *testing.T) {
 	sim := newSettledSimulation(t, 41, "a", "b", "c")
 	sim.write("one")
 	leader := sim.leader()
-	leaves, stays := "b", "c"
+	leavingAddr, stayingAddr := "b", "c"
 	if leader.self.Addr != "a" {
-		leaves, stays = "a", map[string]string{"b": "c", "c": "b"}[leader.self.Addr]
+		leavingAddr, stayingAddr = "a", map[string]string{"b": "c", "c": "b"}[leader.self.Addr]
 	}
-	assert.Assert(t, sim.leave(leaves, time.Second))
-	sim.isolated[stays] = true
+	assert.Assert(t, sim.leave(leavingAddr, time.Second))
+	sim.isolated[stayingAddr] = true
 	index, _, ok := leader.raft.Propose(sim.now, []byte("two"))
 	assert.Assert(t, ok)
 	sim.processReady(leader.self.Addr)
-	sim.run(700 * time.Millisecond) // less than it takes to miss a majority
+	sim.run(700 * time.Millisecond) // less than the check-quorum timeout
 	assert.Assert(t, leader.raft.log.committed < index)
-	delete(sim.isolated, stays)
+	delete(sim.isolated, stayingAddr)
 	sim.run(time.Second)
-	assert.Assert(t, sim.members[stays].raft.log.committed >= index)
+	assert.Assert(t, sim.members[stayingAddr].raft.log.committed >= index)
 }
 
-// A member does not wait for leave that it can never be granted.
+// A member does not wait for permission to leave that it can never get.
 func TestLeaveWithoutWaiting(t *testing.T) {
 	t.Run("a sole voter", func(t *testing.T) {
 		sim := newSettledSimulation(t, 42, "a")
@@ -101,21 +101,21 @@
 	}
 }
 
-// A member that leaves while a learner is ready is replaced by the learner first, so that after the loss of another disk 50 ms later
-// only one vote is missing. Either the leader or a follower leaves.
+// If a learner has caught up, a leaving member is first replaced by it, so that after the loss of another disk 50 ms later only one vote is
+// missing. Either the leader or a follower leaves.
 func TestLeaveWithReadyLearner(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulationWithLearner(t, 400+seed, 20)
 		lead := sim.leader().self.Addr
-		assert.Assert(t, !sim.leader().raft.log.configuration.isVoter(20), "there are as many members as there should be")
+		assert.Assert(t, !sim.leader().raft.log.configuration.isVoter(20), "the learner became a voter although the cluster has its full size")
 		others := sim.othersThan(lead, "d")
-		leaves, lost := others[0], others[1]
+		leavingAddr, lost := others[0], others[1]
 		if seed%2 == 0 {
-			leaves = lead
+			leavingAddr = lead
 		}
 		sim.requireMembersAtLeast(3)
-		assert.Assert(t, sim.leave(leaves, time.Second))
-		delete(sim.members, leaves)
+		assert.Assert(t, sim.leave(leavingAddr, time.Second))
+		delete(sim.members, leavingAddr)
 		sim.run(50 * time.Millisecond)
 		sim.startEmpty(lost, 30)
 		sim.run(4 * time.Second)
@@ -126,50 +126,50 @@
 	}
 }
 
-// A learner that has joined and is then cut off does not keep a member from leaving.
+// A learner that the leader cannot reach does not keep a member from leaving.
 func TestLeaveWithUnreachableLearner(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSettledSimulation(t, 500+seed, "a", "b", "c")
 		sim.write("one")
 		lead := sim.leader().self.Addr
 		sim.startEmpty("d", 20)
-		sim.cutLinks[[2]string{lead, "d"}] = true // it asks, and hears nothing
+		sim.cutLinks[[2]string{lead, "d"}] = true // its JoinRequest arrives, but no response does
 		sim.run(200 * time.Millisecond)
-		leaves := lead
+		leavingAddr := lead
 		if seed%2 == 0 {
-			leaves = sim.follower()
+			leavingAddr = sim.follower()
 		}
-		assert.Assert(t, sim.leave(leaves, 4*testElectionTimeout))
+		assert.Assert(t, sim.leave(leavingAddr, 4*testElectionTimeout))
 	}
 }
 
-// A member that leaves for good, leader or follower, is replaced by a learner that is ready. 50 ms after it began to leave another
-// member loses its disk; the remaining members are still a majority.
-func TestLeaveGivesPlaceToLearner(t *testing.T) {
+// A leader or follower that leaves permanently is replaced by a learner that has caught up. 50 ms after it began to leave, another member
+// loses its disk; the remaining members must still form a majority.
+func TestLeavingMemberReplacedByLearner(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulationWithLearner(t, 700+seed, 10)
 		sim.write("two")
 		lead := sim.leader().self.Addr
 		others := sim.othersThan(lead, "d")
-		leaves, lost, stays := lead, others[0], others[1]
+		leavingAddr, lost, stayingAddr := lead, others[0], others[1]
 		if seed%2 == 0 {
-			leaves, lost = others[0], lead
+			leavingAddr, lost = others[0], lead
 		}
-		sim.members[leaves].raft.BeginLeave(sim.now)
-		sim.processReady(leaves)
+		sim.members[leavingAddr].raft.BeginLeave(sim.now)
+		sim.processReady(leavingAddr)
 		sim.run(50 * time.Millisecond)
 		sim.startEmpty(lost, 20)
-		sim.runUntil(1500*time.Millisecond, sim.members[leaves].raft.MayLeave)
-		delete(sim.members, leaves)
+		sim.runUntil(1500*time.Millisecond, sim.members[leavingAddr].raft.MayLeave)
+		delete(sim.members, leavingAddr)
 		sim.run(6 * time.Second)
 		sim.write("after it")
-		left := []string{stays, lost, "d"}
+		left := []string{stayingAddr, lost, "d"}
 		slices.Sort(left)
 		sim.requireComplete(left...)
 	}
 }
 
-// A learner that lags or is silent does not delay a member that leaves.
+// A learner that lags or is silent does not delay a leaving member.
 func TestLeaveDoesNotWaitForLaggingLearner(t *testing.T) {
 	for seed := range uint64(8) {
 		sim := newSettledSimulation(t, 760+seed, "a", "b", "c")
@@ -182,10 +182,10 @@
 		}
 		sim.write("without the learner")
 		sim.run(time.Second)
-		leaves := sim.leader().self.Addr
+		leavingAddr := sim.leader().self.Addr
 		if seed%2 == 0 {
-			leaves = sim.othersThan(leaves, "d")[0]
+			leavingAddr = sim.othersThan(leavingAddr, "d")[0]
 		}
-		assert.Assert(t, sim.leave(leaves, time.Second), "seed %d", seed)
+		assert.Assert(t, sim.leave(leavingAddr, time.Second), "seed %d", seed)
 	}
 }
--- a/internal/mesh/raft/membership_test.go
+++ b/internal/mesh/raft/membership_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Lost members are replaced by new ones at other addresses, the leader as well.
+// Lost members, including the leader, are replaced by new ones at other addresses.
 func TestLostMembersReplaced(t *testing.T) {
 	sim := newSettledSimulation(t, 1, "a", "b", "c")
 	sim.write("one")
@@ -27,8 +27,8 @@
 	sim.requireComplete(append(rest, "e")...)
 }
 
-// The leader loses its disk again and again, each time once the previous one has become a member again.
-func TestDisksLostInTurn(t *testing.T) {
+// The leader of the moment loses its disk four times in a row, each time after the previous one has become a member again.
+func TestRepeatedDiskLossOfLeader(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSettledSimulation(t, seed, "a", "b", "c")
 		for n := range 4 {
@@ -41,7 +41,7 @@
 	}
 }
 
-// A member that was replaced while it was cut off learns so, and rejoins when the cluster has room again.
+// A member that was replaced while it was isolated learns of its removal, and rejoins once another member is lost.
 func TestRemovedMemberRejoins(t *testing.T) {
 	sim := newSettledSimulation(t, 3, "a", "b", "c")
 	sim.isolated["c"] = true
@@ -57,14 +57,14 @@
 	sim.requireComplete("a", "b", "d")
 	term := sim.leader().raft.Term()
 	sim.run(5 * time.Second)
-	assert.Equal(t, sim.leader().raft.Term(), term, "a removed member disturbs nobody")
+	assert.Equal(t, sim.leader().raft.Term(), term, "the removed member caused an election")
 	delete(sim.members, "d")
 	sim.run(6 * time.Second)
 	sim.requireComplete("a", "b", "c")
 }
 
-// A lost member is replaced in one step by a learner that has caught up, at the same address or at another, so that its place is never
-// empty.
+// A lost member is replaced in one step by a learner that has caught up, at the same address or at another, so that the configuration
+// always has three members.
 func TestReplacement(t *testing.T) {
 	for _, at := range []string{"c", "d"} {
 		sim := newSettledSimulation(t, 11, "a", "b", "c")
@@ -87,7 +87,8 @@
 	}
 }
 
-// atEachMomentOfReplacement runs a scenario with a fault at each moment of a replacement, 4 ms apart, from the join on until it is done.
+// atEachMomentOfReplacement runs the replacement of a member once for each moment of a fault: 0 to 400 ms after the new member starts, in
+// steps of 4 ms.
 func atEachMomentOfReplacement(t *testing.T, fault func(sim *simulation, lead string)) {
 	for at := time.Duration(0); at < 400*time.Millisecond; at += 4 * time.Millisecond {
 		sim := newSimulation(t, uint64(at), "a", "b", "c")
@@ -107,12 +108,12 @@
 	}
 }
 
-// The leader is lost at each moment of a replacement; it comes back with its disk.
+// The leader crashes at any moment of a replacement, and restarts with its disk.
 func TestLeaderLostDuringReplacement(t *testing.T) {
 	atEachMomentOfReplacement(t, func(sim *simulation, lead string) { sim.crash(lead, time.Second) })
 }
 
-// The learner is lost at each moment of a replacement, with its disk: another ID takes the place.
+// The learner loses its disk at any moment of a replacement. It comes back with another ID and becomes the replacement instead.
 func TestLearnerLostDuringReplacement(t *testing.T) {
 	atEachMomentOfReplacement(t, func(sim *simulation, lead string) {
 		for a, n := range sim.members {
@@ -123,8 +124,8 @@
 	})
 }
 
-// The leader's disk is lost right after the replacement of another was committed: nothing that was acknowledged is lost with it.
-func TestTwoDisksLostAroundReplacement(t *testing.T) {
+// The leader's disk is lost right after the replacement of another member was committed. No acknowledged entry may be lost with it.
+func TestLeaderDiskLostAfterReplacement(t *testing.T) {
 	for seed := range uint64(50) {
 		sim := newSimulation(t, 100+seed, "a", "b", "c")
 		sim.step = 2 * time.Millisecond
@@ -143,20 +144,20 @@
 	}
 }
 
-// A member votes for a new member that it does not know yet. Otherwise two of three members, with the third down, could never elect a
-// leader.
+// A member votes for a new member that is not in its own configuration yet. Otherwise two of three members, with the third down, could
+// never elect a leader.
 func TestVoteForUnknownMember(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	n := &testMember{self: Member{4, "r4"}}
 	n.start()
 	model.nodes = append(model.nodes, n)
-	// The first has 4 take the place of 3; the second hears nothing of it.
+	// The first member replaces 3 with 4; the second member does not receive the entry.
 	model.nodes[0].raft.handleJoinRequest(Message{Kind: JoinRequest, From: 4, Addr: "r4"})
 	model.nodes[0].raft.appendAsLeader(Entry{Kind: EntryConfiguration, Members: []Member{{1, "r1"}, {2, "r2"}, {4, "r4"}}})
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	deliverAllExcept(t, model, 2, 3)
 	assert.Assert(t, n.raft.log.configuration.isVoter(4) && !model.nodes[1].raft.log.configuration.isVoter(4))
-	// The first is gone, and 4 has what the second lacks.
+	// The first member is gone, and 4 has the entry that the second lacks.
 	for range 4 {
 		if n.raft.IsLeader() {
 			break
@@ -170,7 +171,8 @@
 	assert.Assert(t, n.raft.IsLeader())
 }
 
-// A leader that is removed does not count itself for the new members, and steps down once the change is committed.
+// A leader that is being removed does not count itself towards the majority of the new members, and steps down once the change is
+// committed.
 func TestLeaderRemoved(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	for _, m := range []Member{{4, "r4"}, {5, "r5"}} {
@@ -187,7 +189,7 @@
 	})
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	deliverAllExcept(t, model, 4, 5)
-	assert.Assert(t, old.log.committed < old.log.configuration.Index, "of the new members it has the second alone, and itself is none")
+	assert.Assert(t, old.log.committed < old.log.configuration.Index, "committed with one of the three new members and the removed leader")
 	for range 6 {
 		for _, n := range model.nodes {
 			n.now += testHeartbeatInterval
@@ -202,8 +204,8 @@
 	}))
 }
 
-// In a cluster of both protocol versions, whichever leads, a lost member is replaced in the way that all support. Once all speak the
-// present version that is a joint change.
+// In a cluster with members of both protocol versions, a lost member is replaced in a way that all members support, whichever member
+// leads. Once all members speak the current version, it is replaced by a joint change.
 func TestMixedProtocolVersions(t *testing.T) {
 	for mask := range 8 {
 		sim := newSimulation(t, uint64(mask), "a", "b", "c")
@@ -219,7 +221,7 @@
 		}
 		sim.write("last")
 		sim.requireComplete("a", "b", "c")
-		for _, addr := range sim.addrs() { // all speak the present version now
+		for _, addr := range sim.addrs() { // all members are upgraded to the current version
 			if n := sim.members[addr]; n.legacyProtocol {
 				n.legacyProtocol, n.now = false, sim.now
 				n.start()
--- a/internal/mesh/raft/model_test.go
+++ b/internal/mesh/raft/model_test.go
@@ -17,7 +17,7 @@
 	testClusterSize       = 3
 )
 
-// testMember is a member and what its disk holds.
+// testMember is a member with the contents of its disk.
 type testMember struct {
 	raft *Raft
 	self Member
@@ -25,16 +25,16 @@
 
 	hardState HardState
 	snapshot  Snapshot
-	log       []Entry // entries in front of the snapshot as well
+	log       []Entry // including catch-up entries before the end of the snapshot
 
-	appliedIndex       uint64 // since it started
+	appliedIndex       uint64 // index of the last entry applied since it started
 	disksLost          int
 	legacyProtocol     bool
 	maxCatchUpEntries  int
 	snapshotChunkBytes int
 }
 
-// start starts the member from what its disk holds.
+// start starts the member from the contents of its disk.
 func (n *testMember) start() {
 	n.appliedIndex = n.snapshot.Index
 	behind := slices.IndexFunc(n.log, func(e Entry) bool { return e.Index > n.snapshot.Index })
@@ -58,33 +58,33 @@
 	}, n.now)
 }
 
-// saveEntries writes entries over all from the first one's index on.
+// saveEntries replaces all stored entries from the index of the first given one on.
 func (n *testMember) saveEntries(entries []Entry) {
 	kept := slices.DeleteFunc(slices.Clone(n.log), func(e Entry) bool { return e.Index >= entries[0].Index })
 	n.log = append(kept, entries...)
 }
 
-// compact replaces what is applied by a snapshot.
+// compact replaces the applied entries with a snapshot.
 func (n *testMember) compact(data []byte) {
 	n.snapshot = n.raft.Compact(n.raft.AppliedIndex(), data)
 	n.log = slices.DeleteFunc(slices.Clone(n.log), func(e Entry) bool { return e.Index < n.raft.OldestRetainedIndex() })
 }
 
-// modelState is the state of some members and of the messages between them, with what the checks need to know. Every action of a member
-// is checked against the invariants of Raft (Raft paper, figure 3).
+// modelState is the state of a cluster: its members, the messages in flight, and what the invariant checks need. Every Ready of a member is
+// checked against the safety properties of Raft (Raft paper, figure 3).
 type modelState struct {
 	nodes   []*testMember
 	network []Message
 
-	applied           map[uint64]string        // by index: what some member has applied
+	applied           map[uint64]string        // by index: the entry that some member has applied
 	leaders           map[uint64]ID            // by term
-	acknowledgedIndex uint64                   // highest index that a leader handed out as committed
-	acknowledgedTerm  uint64                   // and its term
-	readFloor         map[uint64]uint64        // by read: the highest index acknowledged when it was asked for
-	configurations    map[uint64]Configuration // that were committed, by the index of their entries
+	acknowledgedIndex uint64                   // highest index that a leader has returned as committed
+	acknowledgedTerm  uint64                   // term of that leader
+	readFloor         map[uint64]uint64        // by read request: acknowledgedIndex when it was made
+	configurations    map[uint64]Configuration // committed ones, by the index of their entries
 
-	// What a search may still do.
-	trail           []string // what it did
+	// Only used by searches: the steps so far, and how many more of each kind are allowed.
+	history         []string // descriptions of the steps
 	faultsLeft      int      // crashes, lost disks and lost messages
 	proposed        int
 	leaderTicksLeft int
@@ -93,11 +93,11 @@
 	observe func(*testMember, Ready) // called with each Ready before it is processed; may be nil
 }
 
-// modelFaults makes the members of a model wrong in one way.
+// modelFaults injects a fault into the members of a model.
 type modelFaults struct {
-	noSync      bool // a member sends messages that depend on a write that is lost
-	keepWipedID bool // a member that lost its disk keeps its ID
-	localLease  bool // a leader answers reads by its own clock, without asking the others
+	sendBeforeSync      bool // a member sends messages that depend on a write before the sync, and the write is lost
+	keepIDAfterDiskLoss bool // a member that lost its disk keeps its ID
+	leaseReads          bool // a leader serves reads by a lease on its own clock, without a heartbeat round
 }
 
 func newModel(n int) *modelState {
@@ -119,18 +119,18 @@
 	return model
 }
 
-// modelWithLeader is a model whose first member leads, and all have heard of it.
+// modelWithLeader returns a model whose first member leads. All messages have been delivered.
 func modelWithLeader(t *testing.T, n int) *modelState {
 	t.Helper()
 	model := newModel(n)
-	model.missLeader(t, 0)
+	model.expireElectionTimeout(t, 0)
 	deliverAll(t, model)
 	assert.Assert(t, model.nodes[0].raft.IsLeader())
 	return model
 }
 
-// missLeader lets so much time pass at one member that it misses its leader.
-func (model *modelState) missLeader(t *testing.T, i int) {
+// expireElectionTimeout advances the time of one member beyond its election deadline, and processes the resulting Readys.
+func (model *modelState) expireElectionTimeout(t *testing.T, i int) {
 	t.Helper()
 	member := model.nodes[i]
 	member.now += 3 * testElectionTimeout
@@ -138,7 +138,7 @@
 	assert.NilError(t, model.processReady(i, noCrash, modelFaults{}))
 }
 
-// indexOf is the place of a member; -1: there is none of this ID.
+// indexOf returns the position of a member among the nodes, or -1 if no node has this ID.
 func (model *modelState) indexOf(id ID) int {
 	return slices.IndexFunc(model.nodes, func(member *testMember) bool { return member.self.ID == id })
 }
@@ -148,11 +148,11 @@
 	t.Helper()
 	for delivered := 0; len(model.network) > 0; delivered++ {
 		deliverNext(t, model)
-		assert.Assert(t, delivered <= 1000, "it does not settle")
+		assert.Assert(t, delivered <= 1000, "messages are still sent after 1000 deliveries")
 	}
 }
 
-// deliverAllExcept delivers all messages in flight but loses those that some members send or are sent.
+// deliverAllExcept delivers all messages in flight, except that messages from and to some members are lost.
 func deliverAllExcept(t *testing.T, model *modelState, except ...ID) {
 	t.Helper()
 	for len(model.network) > 0 {
@@ -175,78 +175,79 @@
 	}
 }
 
-// Where a member crashes while it carries out a Ready.
+// Points at which a member crashes while it processes a Ready.
 const (
 	noCrash = iota
 	crashBeforeSync
 	crashAfterSync
 )
 
-// processReady lets a member carry out its Readys until there is nothing to do. An error names the invariant that is broken.
+// processReady makes a member process its Readys until there is nothing left to do. The error tells which invariant is violated.
 func (model *modelState) processReady(i, crash int, faults modelFaults) error {
 	n := model.nodes[i]
 	for {
 		n.raft.Flush()
-		r := n.raft.Ready()
-		if len(r.MessagesBeforeSave)+len(r.MessagesAfterSave)+len(r.CommittedEntries)+len(r.ReadStates) == 0 && !r.MustSync() {
+		ready := n.raft.Ready()
+		if len(ready.MessagesBeforeSave)+len(ready.MessagesAfterSave)+len(ready.CommittedEntries)+len(ready.ReadStates) == 0 &&
+			!ready.MustSync() {
 			return model.checkLeader(n)
 		}
 		if model.observe != nil {
-			model.observe(n, r)
+			model.observe(n, ready)
 		}
-		model.network = append(model.network, r.MessagesBeforeSave...)
-		if crash == crashBeforeSync && r.MustSync() {
-			if faults.noSync { // it has answered all the same
-				model.network = append(model.network, r.MessagesAfterSave...)
+		model.network = append(model.network, ready.MessagesBeforeSave...)
+		if crash == crashBeforeSync && ready.MustSync() {
+			if faults.sendBeforeSync {
+				model.network = append(model.network, ready.MessagesAfterSave...)
 			}
 			n.start()
 			return nil
 		}
-		if err := model.save(n, r); err != nil {
+		if err := model.save(n, ready); err != nil {
 			return err
 		}
-		n.raft.MarkSaved(r)
-		if crash == crashAfterSync && r.MustSync() {
+		n.raft.MarkSaved(ready)
+		if crash == crashAfterSync && ready.MustSync() {
 			n.start()
 			return nil
 		}
-		model.network = append(model.network, r.MessagesAfterSave...)
-		if err := model.checkReads(r.ReadStates); err != nil {
+		model.network = append(model.network, ready.MessagesAfterSave...)
+		if err := model.checkReads(ready.ReadStates); err != nil {
 			return err
 		}
-		if err := model.apply(n, r.CommittedEntries); err != nil {
+		if err := model.apply(n, ready.CommittedEntries); err != nil {
 			return err
 		}
 	}
 }
 
-// save puts on a member's disk what a Ready says.
-func (model *modelState) save(n *testMember, r Ready) error {
-	if r.HardState != nil {
-		n.hardState = *r.HardState
+// save writes the HardState, Snapshot and Entries of a Ready to a member's disk.
+func (model *modelState) save(n *testMember, ready Ready) error {
+	if ready.HardState != nil {
+		n.hardState = *ready.HardState
 	}
-	if r.Snapshot != nil {
-		if err := model.checkSnapshot(*r.Snapshot); err != nil {
-			return fmt.Errorf("%d installs %w", n.self.ID, err)
+	if ready.Snapshot != nil {
+		if err := model.checkSnapshot(*ready.Snapshot); err != nil {
+			return fmt.Errorf("member %d installs %w", n.self.ID, err)
 		}
-		if r.Snapshot.Index < n.snapshot.Index || n.appliedIndex > r.Snapshot.Index {
-			return fmt.Errorf("%d, which has applied entry %d, installs the snapshot of entry %d",
-				n.self.ID, n.appliedIndex, r.Snapshot.Index)
+		if ready.Snapshot.Index < n.snapshot.Index || n.appliedIndex > ready.Snapshot.Index {
+			return fmt.Errorf("member %d, which has applied entry %d, installs an older snapshot of entry %d",
+				n.self.ID, n.appliedIndex, ready.Snapshot.Index)
 		}
-		n.snapshot, n.log, n.appliedIndex = *r.Snapshot, nil, r.Snapshot.Index
+		n.snapshot, n.log, n.appliedIndex = *ready.Snapshot, nil, ready.Snapshot.Index
 	}
-	if len(r.Entries) > 0 {
-		n.saveEntries(r.Entries)
+	if len(ready.Entries) > 0 {
+		n.saveEntries(ready.Entries)
 	}
 	return nil
 }
 
-// apply applies entries at a member, which must be those that all others have applied.
+// apply applies entries at a member. They must equal the entries that other members have applied at the same indexes.
 func (model *modelState) apply(n *testMember, entries []Entry) error {
 	for _, e := range entries {
 		text := fmt.Sprint(e.Term, e.Kind, string(e.Data), e.Members)
-		if was, is := model.applied[e.Index]; is && was != text {
-			return fmt.Errorf("entry %d was applied as %q and as %q", e.Index, was, text)
+		if previous, found := model.applied[e.Index]; found && previous != text {
+			return fmt.Errorf("entry %d was applied as %q and as %q", e.Index, previous, text)
 		}
 		model.applied[e.Index] = text
 		n.appliedIndex = e.Index
@@ -260,18 +261,18 @@
 	return nil
 }
 
-// checkReads checks that reads are answered with all that was acknowledged when they were asked for.
+// checkReads checks that each confirmed read includes all entries that were acknowledged when it was requested.
 func (model *modelState) checkReads(states []ReadState) error {
 	for _, state := range states {
 		if want := model.readFloor[state.RequestID]; state.Index > 0 && state.Index < want {
-			return fmt.Errorf("read %d is answered as of entry %d, and entry %d had been acknowledged when it was asked for",
+			return fmt.Errorf("read %d is confirmed at entry %d, but entry %d had been acknowledged when it was requested",
 				state.RequestID, state.Index, want)
 		}
 	}
 	return nil
 }
 
-// checkSnapshot checks that a snapshot's members are those that were committed as of its index.
+// checkSnapshot checks that a snapshot contains the configuration that was committed at its index.
 func (model *modelState) checkSnapshot(s Snapshot) error {
 	latest := uint64(1)
 	for index := range model.configurations {
@@ -279,23 +280,23 @@
 			latest = max(latest, index)
 		}
 	}
-	is := s.configuration()
-	want, known := model.configurations[s.ConfigurationIndex]
-	if s.ConfigurationIndex < latest || s.ConfigurationIndex > s.Index || len(is.Members) == 0 || known && !reflect.DeepEqual(is, want) {
-		return fmt.Errorf("the snapshot of entry %d with the members of entry %d, %+v; committed were those of entry %d, %+v",
-			s.Index, s.ConfigurationIndex, is, latest, model.configurations[latest])
+	got := s.configuration()
+	want, found := model.configurations[s.ConfigurationIndex]
+	if s.ConfigurationIndex < latest || s.ConfigurationIndex > s.Index || len(got.Members) == 0 || found && !reflect.DeepEqual(got, want) {
+		return fmt.Errorf("the snapshot of entry %d with the configuration of entry %d, %+v; the committed one is that of entry %d, %+v",
+			s.Index, s.ConfigurationIndex, got, latest, model.configurations[latest])
 	}
 	return nil
 }
 
-// checkLeader checks that a term has one leader, and that a leader has all that was acknowledged in earlier terms.
+// checkLeader checks that a term has at most one leader, and that a leader has all entries that were acknowledged in earlier terms.
 func (model *modelState) checkLeader(n *testMember) error {
 	if !n.raft.IsLeader() {
 		return nil
 	}
 	term := n.raft.Term()
-	if was, is := model.leaders[term]; is && was != n.self.ID {
-		return fmt.Errorf("term %d has two leaders, %d and %d", term, was, n.self.ID)
+	if previous, found := model.leaders[term]; found && previous != n.self.ID {
+		return fmt.Errorf("term %d has two leaders, %d and %d", term, previous, n.self.ID)
 	}
 	model.leaders[term] = n.self.ID
 	if n.raft.LastIndex() < model.acknowledgedIndex && term > model.acknowledgedTerm {
--- a/internal/mesh/raft/mutations_test.go
+++ b/internal/mesh/raft/mutations_test.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Mutations of the rules of votes: sections 5.2 and 5.4.1 of the Raft paper, section 9.6 of Ongaro's dissertation.
+// Mutations of the voting rules (Raft paper, sections 5.2 and 5.4.1; dissertation, section 9.6).
 var voteMutations = []mutant{
-	{name: "an answer before the sync", edits: []edit{{
+	{name: "a message sent before the sync", edits: []edit{{
 		"ready.go",
 		"	ready.Entries = r.log.takeUnsavedEntries()\n",
 		`	ready.Entries = r.log.takeUnsavedEntries()
@@ -13,12 +13,12 @@
 	}
 `,
 	}}},
-	{name: "a vote not synced", test: "TestOrdersOfTwoCandidates", edits: []edit{{
+	{name: "a vote not saved", test: "TestSearchTwoCandidates", edits: []edit{{
 		"ready.go",
 		"&HardState{Term: r.term, Vote: r.vote}",
 		"&HardState{Term: r.term}",
 	}}},
-	{name: "two votes in one term", test: "TestVoteHoldsForOneTerm", edits: []edit{{
+	{name: "two votes in one term", test: "TestOneVotePerTerm", edits: []edit{{
 		"election.go",
 		"granted := (r.vote == 0 || r.vote == m.From) && r.isUpToDate(m)",
 		"granted := r.isUpToDate(m)",
@@ -36,32 +36,32 @@
 		"return last.term > l.lastTerm() || last.term == l.lastTerm() && last.index >= l.lastIndex()",
 		"return last.term >= l.lastTerm()",
 	}}},
-	{name: "half of the members taken for a majority", edits: []edit{{
+	{name: "half of the members counted as a majority", edits: []edit{{
 		"configuration.go",
 		"return counted > len(members)/2",
 		"return counted >= (len(members)+1)/2 || counted >= len(members)/2 && counted > 0",
 	}}},
-	{name: "a refused vote counted", edits: []edit{{
+	{name: "a rejected vote counted", edits: []edit{{
 		"election.go",
 		"if r.role == candidate && !m.Reject {",
 		"if r.role == candidate {",
 	}}},
-	{name: "a refused pre-vote counted", test: "TestExitedLeaderIsReplacedSoon", edits: []edit{{
+	{name: "a rejected pre-vote counted", test: "TestExitedLeaderIsReplacedSoon", edits: []edit{{
 		"election.go",
 		"if r.role == preCandidate && m.Term == r.term+1 && !m.Reject {",
 		"if r.role == preCandidate {",
 	}}},
-	{name: "a pre-vote though the leader is heard", test: "TestLeaderExitReportedWrongly", edits: []edit{{
+	{name: "a pre-vote granted despite an active leader", test: "TestLeaderExitReportedWrongly", edits: []edit{{
 		"election.go",
 		"granted := m.Term > r.term && !r.hasActiveLeader() && r.isUpToDate(m)",
 		"granted := m.Term > r.term && r.isUpToDate(m)",
 	}}},
-	{name: "no vote for a member that is not known", test: "TestVoteForUnknownMember", edits: []edit{{
+	{name: "no vote for an unknown member", test: "TestVoteForUnknownMember", edits: []edit{{
 		"election.go",
 		"if !granted && !r.log.configuration.isVoter(m.From) {",
 		"if !r.log.configuration.isVoter(m.From) {",
 	}}},
-	{name: "the vote of the term before kept", test: "TestVoteHoldsForOneTerm", edits: []edit{{
+	{name: "the vote of the previous term kept", test: "TestOneVotePerTerm", edits: []edit{{
 		"step.go",
 		"r.term, r.vote = term, 0\n",
 		"r.term = term\n",
@@ -86,34 +86,34 @@
 	}
 )
 
-// Mutations of the rules of the log and of what is committed: sections 5.3 and 5.4.2 of the Raft paper.
+// Mutations of log replication and of the commit rule (Raft paper, sections 5.3 and 5.4.2).
 var commitMutations = []mutant{
-	{name: "entries of earlier terms committed by counting", test: "TestEarlierTermNotCounted", edits: []edit{{
+	{name: "entries of earlier terms committed by counting", test: "TestEarlierTermNotCommittedByCounting", edits: []edit{{
 		"replication.go",
 		"if term, _ := r.log.termAt(index); term != r.term {",
 		"if term, _ := r.log.termAt(index); term > r.term {",
 	}}},
-	{name: "a follower commits what it has not compared", test: "TestOnlyComparedEntriesCount", edits: []edit{{
+	{name: "a follower commits entries that it has not compared", test: "TestOnlyComparedEntriesAcknowledged", edits: []edit{{
 		"follower.go",
 		"min(m.Commit, reply.Index)",
 		"min(m.Commit, r.log.lastIndex())",
 	}}},
-	{name: "a follower acknowledges what it has not compared", test: "TestOnlyComparedEntriesCount", edits: []edit{{
+	{name: "a follower acknowledges entries that it has not compared", test: "TestOnlyComparedEntriesAcknowledged", edits: []edit{{
 		"follower.go",
 		"reply.Index = m.Index + uint64(len(m.Entries))",
 		"reply.Index = r.log.lastIndex()",
 	}}},
-	{name: "entries put behind one of another term", edits: []edit{{
+	{name: "entries appended after an entry of another term", edits: []edit{{
 		"follower.go",
 		"!found || term != m.LogTerm {",
 		"!found || term > m.LogTerm+100 {",
 	}}},
-	{name: "entries that agree cut off", test: "TestLateAppendCutsNothingOff", edits: []edit{{
+	{name: "matching entries truncated", test: "TestDelayedAppendDoesNotTruncate", edits: []edit{{
 		"log.go",
 		"if found && term == entry.Term {",
 		"if found && term == entry.Term && i < len(entries)-1 {",
 	}}},
-	{name: "entries that conflict kept", test: "TestLateAppendCutsNothingOff", edits: []edit{{
+	{name: "conflicting entries kept", test: "TestDelayedAppendDoesNotTruncate", edits: []edit{{
 		"log.go",
 		"if found && term == entry.Term {",
 		"if found && term > 0 {",
@@ -135,9 +135,9 @@
 	}}},
 }
 
-// Mutations of confirmed reads: section 6.4 of Ongaro's dissertation.
+// Mutations of linearizable reads (dissertation, section 6.4).
 var readMutations = []mutant{
-	{name: "a lease by the local clock", slow: true, edits: []edit{{
+	{name: "reads served by a clock-based leader lease", slow: true, edits: []edit{{
 		"read_index.go",
 		"if r.log.configuration.isSoleVoter(r.config.Self.ID) {",
 		"if r.HasQuorumContact(r.now) {",
@@ -147,12 +147,12 @@
 		"if r.role != leader || !r.hasCommittedOwnTerm() {",
 		"if r.role != leader {",
 	}}},
-	{name: "a read confirmed by a round that began before it", test: "TestReadNeedsALaterRound", edits: []edit{{
+	{name: "a read confirmed by an earlier heartbeat round", test: "TestReadNeedsLaterHeartbeatRound", edits: []edit{{
 		"read_index.go",
 		"	r.broadcastHeartbeat()\n",
 		"",
 	}}},
-	{name: "a read confirmed by the answers to the round before", test: "TestReadNeedsALaterRound", edits: []edit{{
+	{name: "a read confirmed by responses to the previous heartbeat round", test: "TestReadNeedsLaterHeartbeatRound", edits: []edit{{
 		"read_index.go",
 		"p.answeredRound >= read.round",
 		"p.answeredRound+1 >= read.round",
@@ -162,7 +162,7 @@
 		"		r.rejectReads()\n",
 		"",
 	}}},
-	{name: "a read confirmed by one answer", test: "TestReadNeedsAQuorum", edits: []edit{{
+	{name: "a read confirmed by one response", test: "TestReadNeedsQuorum", edits: []edit{{
 		"read_index.go",
 		"isConfirmed := r.log.configuration.hasQuorum(func(id ID) bool {",
 		"isConfirmed := slices.ContainsFunc(r.log.configuration.Members, func(member Member) bool {\n			id := member.ID",
@@ -177,14 +177,14 @@
 	}}},
 }
 
-// Mutations of snapshots: section 7 of the Raft paper.
+// Mutations of snapshots (Raft paper, section 7).
 var snapshotMutations = []mutant{
 	{name: "a snapshot without the members", edits: []edit{{
 		"log.go",
 		"		Members:            configuration.Members,\n",
 		"",
 	}}},
-	{name: "a snapshot with the members of the log's end", edits: []edit{{
+	{name: "a snapshot with the latest configuration of the log", edits: []edit{{
 		"log.go",
 		"l.entriesFrom(index)[0], l.configurationAt(index)",
 		"l.entriesFrom(index)[0], l.configuration",
@@ -194,18 +194,18 @@
 		"if snapshot.Index <= r.log.committed {",
 		"if snapshot.Index == r.log.committed {",
 	}}},
-	{name: "a snapshot's checksum not compared", test: "TestInvalidSnapshotRejected", edits: []edit{checksumIgnored}},
+	{name: "a snapshot's checksum not checked", test: "TestInvalidSnapshotRejected", edits: []edit{checksumIgnored}},
 	{name: "a snapshot in one message sent with every heartbeat", test: "TestSnapshotForLegacyMember", edits: []edit{{
 		"snapshot_send.go",
 		"const wholeSnapshotResendFactor = 8",
 		"const wholeSnapshotResendFactor = 0",
 	}}},
-	{name: "a log of another term kept behind a snapshot", test: "TestSnapshotReplacesConflictingLog", edits: []edit{{
+	{name: "entries of another term kept after a snapshot", test: "TestSnapshotReplacesConflictingLog", edits: []edit{{
 		"log.go",
 		"found && term == snapshot.Term {",
 		"found && term > 0 {",
 	}}},
-	{name: "chunks put together in the order in which they come", test: "TestSnapshotOverLossyLink", edits: []edit{{
+	{name: "chunks appended in the order of arrival", test: "TestSnapshotOverLossyLink", edits: []edit{{
 		"snapshot_receive.go",
 		"if m.Offset == uint64(len(incoming.data)) {",
 		"if len(incoming.data)+len(snapshot.Data) <= int(incoming.totalBytes) {",
@@ -218,7 +218,7 @@
 	"if crc32.Checksum(incoming.data, castagnoliTable) == incoming.checksum+1 {",
 }
 
-// Mutations of changes of the membership: section 6 of the Raft paper, chapter 4 of Ongaro's dissertation.
+// Mutations of membership changes (Raft paper, section 6; dissertation, chapter 4).
 var membershipMutations = []mutant{
 	{name: "a joint change decided by the new members alone", slow: true, edits: []edit{{
 		"configuration.go",
@@ -235,7 +235,7 @@
 		"return hasMajority(c.Members, counts) && (!c.isJoint() || hasMajority(c.Outgoing, counts))",
 		"return hasMajority(c.voters(), counts)",
 	}}},
-	{name: "a leader that is removed counts itself", edits: []edit{{
+	{name: "a removed leader counts itself", edits: []edit{{
 		"replication.go",
 		"if r.log.configuration.hasQuorum(func(id ID) bool { return r.matchIndex(id) >= index }) {",
 		`c := r.log.configuration
@@ -245,7 +245,7 @@
 		}
 		if c.hasQuorum(counts) {`,
 	}}},
-	{name: "a learner counted", edits: []edit{{
+	{name: "a learner counted towards the quorum", edits: []edit{{
 		"replication.go",
 		"if r.log.configuration.hasQuorum(func(id ID) bool { return r.matchIndex(id) >= index }) {",
 		`holding := 0
@@ -256,22 +256,25 @@
 		}
 		if r.log.savedIndex >= index && holding >= len(r.log.configuration.Members)/2 {`,
 	}}},
-	{name: "a place cleared before the learner has caught up", test: "TestReplacement", edits: []edit{{
+	{name: "a member removed before the learner has caught up", test: "TestReplacement", edits: []edit{{
 		"membership.go",
 		"if version < versionWithJointChange {",
 		"if true {",
 	}}},
-	{name: "a learner put in before it has caught up", test: "TestLearnerCatchesUpFirst", edits: []edit{{
+	{name: "a learner promoted before it has caught up", test: "TestLearnerCatchesUpFirst", edits: []edit{{
 		"membership.go",
 		"return p.match > 0 && p.match >= r.leading.committedAtHeartbeat",
 		"return true",
 	}}},
-	{name: "a change before an entry of the leader's own term is committed", test: "TestMembershipChangeWaitsForOwnTerm", edits: []edit{{
-		"membership.go",
-		"return r.hasCommittedOwnTerm() && r.log.isConfigurationCommitted()",
-		"return r.log.isConfigurationCommitted()",
-	}}},
-	{name: "a change before the last one is committed", test: "TestMembershipChangeWaitsForTheLastOne", edits: []edit{{
+	{
+		name: "a membership change before an entry of the leader's own term is committed", test: "TestMembershipChangeWaitsForOwnTerm",
+		edits: []edit{{
+			"membership.go",
+			"return r.hasCommittedOwnTerm() && r.log.isConfigurationCommitted()",
+			"return r.log.isConfigurationCommitted()",
+		}},
+	},
+	{name: "a membership change before the previous one is committed", test: "TestMembershipChangeWaitsForPreviousChange", edits: []edit{{
 		"membership.go",
 		"return r.hasCommittedOwnTerm() && r.log.isConfigurationCommitted()",
 		"return r.hasCommittedOwnTerm() && !r.log.configuration.isJoint()",
@@ -281,21 +284,21 @@
 		"if configuration.Index > r.log.committed || !r.hasCommittedOwnTerm() {",
 		"if !r.hasCommittedOwnTerm() {",
 	}}},
-	{name: "a configuration that was cut off with the log's end kept", test: "TestConfigurationCutOff", edits: []edit{{
+	{name: "a truncated configuration kept", test: "TestTruncatedConfigurationReverted", edits: []edit{{
 		"log.go",
 		"	if l.configuration.Index >= index {\n		l.refreshConfiguration()\n	}\n",
 		"",
 	}}},
-	{name: "a member that starts counts by its snapshot's members", edits: []edit{{
+	{name: "a restarted member uses the configuration of its snapshot", edits: []edit{{
 		"log.go",
 		"	l.savedIndex = l.lastIndex()\n	l.refreshConfiguration()\n",
 		"	l.savedIndex = l.lastIndex()\n	l.configuration = l.snapshot.configuration()\n",
 	}}},
 }
 
-// Mutations of the rules that fence members that got leave, or lost their disk.
+// Mutations of the rules for members that were granted leave or have lost their disk.
 var fencingMutations = []mutant{
-	{name: "an answer under way taken for that of the next process", edits: []edit{{
+	{name: "a response of the former process taken for one of the restarted process", edits: []edit{{
 		"leave.go",
 		"p.leaveGranted && !m.Leaving &&",
 		"p.leaveGranted &&",
@@ -308,43 +311,46 @@
 	{name: "a voter that lost its disk keeps its ID", slow: true, edits: []edit{{
 		"schedule_test.go",
 		"self: Member{s.nextID, n.self.Addr}, now",
-		"self: n.self, snapshot: BootstrapSnapshot(s.founders), now",
+		"self: n.self, snapshot: BootstrapSnapshot(s.initialMembers), now",
 	}}},
-	{name: "what a member holds after it got leave counts", edits: []edit{acknowledgedAfterLeave}},
+	{name: "acknowledgements after granted leave counted", edits: []edit{acknowledgedAfterLeave}},
 	{
-		name: "a member that got leave says more", edits: []edit{{
+		name: "a member that was granted leave sends messages", edits: []edit{{
 			"ready.go",
 			"		ready.MessagesBeforeSave, ready.MessagesAfterSave = nil, nil\n",
 			"",
 		}},
-		maskedBy: "what it acknowledges does not count", with: []edit{acknowledgedAfterLeave},
+		maskedBy: "its acknowledgements are ignored", with: []edit{acknowledgedAfterLeave},
 	},
-	{name: "an acknowledgement beyond the commit index counts after leave", test: "TestAcknowledgementBeforeLeaveIsCapped", edits: []edit{{
-		"leave.go",
-		"p.leaveGranted, p.match = true, min(p.match, r.log.committed)",
-		"p.leaveGranted = true",
-	}}},
-	{name: "a member that goes counts for those that stay", edits: []edit{{
+	{
+		name: "acknowledgements beyond the commit index counted after granted leave", test: "TestLeaveCapsAcknowledgementAtCommit",
+		edits: []edit{{
+			"leave.go",
+			"p.leaveGranted, p.match = true, min(p.match, r.log.committed)",
+			"p.leaveGranted = true",
+		}},
+	},
+	{name: "a leaving member counted among the remaining ones", edits: []edit{{
 		"leave.go",
 		"return member.ID == leaving.ID })",
 		"return false })",
 	}}},
-	{name: "leave granted by answers from before it was asked for", test: "TestLeaveWaitsForAnswers", edits: []edit{{
+	{name: "leave granted by responses from before the request", test: "TestLeaveWaitsForResponses", edits: []edit{{
 		"leave.go",
 		"return p != nil && p.answeredRound >= leaving.leaveRound",
 		"return p != nil",
 	}}},
-	{name: "leave granted while a change of the membership is under way", test: "TestLeaveWaitsForMembershipChange", edits: []edit{{
+	{name: "leave granted while a membership change is in progress", test: "TestLeaveWaitsForMembershipChange", edits: []edit{{
 		"leave.go",
 		"return r.log.isConfigurationCommitted() && !r.isReplacementReady(p.ID)",
 		"return !r.isReplacementReady(p.ID)",
 	}}},
-	{name: "leave granted though a learner could take the place", test: "TestLeaveWaitsForReplacement", edits: []edit{{
+	{name: "leave granted although a learner could replace the member", test: "TestLeaveWaitsForReplacement", edits: []edit{{
 		"leave.go",
 		"return r.log.isConfigurationCommitted() && !r.isReplacementReady(p.ID)",
 		"return r.log.isConfigurationCommitted()",
 	}}},
-	{name: "a message meant for another at this address taken", test: "TestMessageForAnother", edits: []edit{{
+	{name: "a message for the former member at this address accepted", test: "TestMessageForFormerMemberIgnored", edits: []edit{{
 		"step.go",
 		"	case m.To != r.config.Self.ID:\n		return // meant for a member that used this address before\n",
 		"",
@@ -353,5 +359,5 @@
 
 var acknowledgedAfterLeave = edit{"progress.go", "	if !p.leaveGranted {\n", "	if true {\n"}
 
-// mutations are all of them.
+// mutations are the mutations of all tables.
 var mutations = slices.Concat(voteMutations, commitMutations, readMutations, snapshotMutations, membershipMutations, fencingMutations)
--- a/internal/mesh/raft/progress.go
+++ b/internal/mesh/raft/progress.go
@@ -13,12 +13,12 @@
 	match uint64 // up to here the peer's log agrees with the leader's and is on the peer's disk
 	next  uint64 // the next entry to send
 
-	lastContactAt   time.Duration
-	hasAnswered     bool   // the peer has sent a message to this leader, so protocolVersion is known
-	protocolVersion uint32 // spoken by the peer
-	answeredRound   uint64 // the latest heartbeat round that the peer has answered
-	isVoter         bool   // in the latest configuration
-	isJoining       bool   // the peer is a learner that has asked to join; a removed voter has to ask again
+	lastContactAt   time.Duration // when the last message of the peer arrived
+	hasAnswered     bool          // the peer has sent a message to this leader, so protocolVersion is known
+	protocolVersion uint32        // spoken by the peer
+	answeredRound   uint64        // the latest heartbeat round that the peer has answered
+	isVoter         bool          // in the latest configuration
+	isJoining       bool          // the peer is a learner that has asked to join; a removed voter has to ask again
 
 	inflight []inflightAppend // messages whose entries the peer has not acknowledged
 	paused   bool             // send no entries until the peer answers or a heartbeat is due
--- a/internal/mesh/raft/raft.go
+++ b/internal/mesh/raft/raft.go
@@ -112,10 +112,10 @@
 	electionDeadline time.Duration // when to campaign, unless a message of the leader arrives before
 	votes            map[ID]bool   // pre-votes or votes granted to this member
 
-	leaderContact leaderContact
-	join          joinState
-	leave         leaveState
-	incoming      *incomingSnapshot // the snapshot being received, or nil
+	following followerState
+	join      joinState
+	leave     leaveState
+	incoming  *incomingSnapshot // the snapshot being received, or nil
 
 	// Only used by a leader.
 	leading leaderState
@@ -125,9 +125,9 @@
 	outbox outbox
 }
 
-// leaderContact records a follower's contact with its leader.
-type leaderContact struct {
-	lastContactAt   time.Duration
+// followerState is the state of a follower with respect to its leader.
+type followerState struct {
+	lastContactAt   time.Duration // when the last message of the leader arrived
 	caughtUpAt      time.Duration // when this member last had committed all that the leader had; 0 if never since its start
 	protocolVersion uint32        // spoken by the leader
 }
@@ -216,7 +216,7 @@
 	if r.role == leader {
 		return r.isQuorumActive(now, r.config.ElectionTimeout)
 	}
-	contact := r.leaderContact
+	contact := r.following
 	return r.leaderID != 0 && now-contact.lastContactAt < r.config.ElectionTimeout &&
 		contact.caughtUpAt > 0 && now-contact.caughtUpAt < r.config.ElectionTimeout
 }
--- a/internal/mesh/raft/raftwire/compat_test.go
+++ b/internal/mesh/raft/raftwire/compat_test.go
@@ -13,8 +13,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Kinds of messages and entries keep their numbers on the wire and on disk.
-func TestKindsOfEarlierBuild(t *testing.T) {
+// The kinds of messages and entries must keep their numbers, which are sent and stored.
+func TestKindNumbersUnchanged(t *testing.T) {
 	messages := []raft.MessageKind{
 		raft.AppendEntries, raft.AppendResponse, raft.PreVote, raft.PreVoteResponse, raft.RequestVote,
 		raft.VoteResponse, raft.InstallSnapshot, raft.JoinRequest, raft.NotMember, raft.TimeoutNow, raft.LeaveRequest, raft.LeaveGranted,
@@ -32,8 +32,8 @@
 	}
 }
 
-// A Raft message with all of its fields set has the bytes that earlier builds sent, and is decoded completely.
-func TestRaftMessageOfEarlierBuild(t *testing.T) {
+// A Raft message with all of its fields set must be encoded to the recorded bytes of earlier builds, and decoded without loss.
+func TestMessageMatchesRecordedBytes(t *testing.T) {
 	members := []raft.Member{{ID: 11, Addr: "10.0.0.1:7380"}, {ID: 22, Addr: "10.0.0.2:7380"}}
 	outgoing := []raft.Member{{ID: 33, Addr: "10.0.0.3:7380"}}
 	message := raft.Message{
--- a/internal/mesh/raft/replay_test.go
+++ b/internal/mesh/raft/replay_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// The same events give the same actions, byte for byte: no order of a map, no clock and no other chance is in them.
+// The same events must give the same Readys, byte for byte: the package must not depend on map order, clocks or other sources of
+// nondeterminism.
 func TestReplay(t *testing.T) {
 	for seed := range uint64(12) {
 		var logs [2][]byte
@@ -34,10 +35,10 @@
 			a, b := bytes.Split(logs[0], []byte("\n")), bytes.Split(logs[1], []byte("\n"))
 			for i := range min(len(a), len(b)) {
 				if !bytes.Equal(a[i], b[i]) {
-					t.Fatalf("seed %d: Ready %d is not the same again:\n%s\n%s", seed, i, a[i], b[i])
+					t.Fatalf("seed %d: Ready %d differs between two runs:\n%s\n%s", seed, i, a[i], b[i])
 				}
 			}
-			t.Fatalf("seed %d: %d and %d outputs", seed, len(a), len(b))
+			t.Fatalf("seed %d: the two runs gave %d and %d lines", seed, len(a), len(b))
 		}
 	}
 }
--- a/internal/mesh/raft/replication_test.go
+++ b/internal/mesh/raft/replication_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// A former leader that comes back with many conflicting entries catches up within a few heartbeats rather than after one attempt per
-// entry. Until then it has no quorum contact, although it hears the leader.
+// A former leader that reconnects with many conflicting entries catches up within a few heartbeats rather than after one attempt per
+// entry. Until then it reports no quorum contact, although it receives the leader's heartbeats.
 func TestCatchUpAfterConflictingEntries(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	old := model.nodes[0]
-	for n := range 300 { // the others hear nothing of these
+	for n := range 300 { // the messages with these entries are lost
 		old.raft.Propose(old.now, []byte{byte(n)})
 	}
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
@@ -26,11 +26,12 @@
 	}
 	assert.NilError(t, model.processReady(1, noCrash, modelFaults{}))
 	deliverAllExcept(t, model, 1)
-	// The first hears again. A heartbeat is all that starts each attempt.
+	// The first member is reachable again. Only heartbeats start attempts to find where the logs agree.
 	isBehind := func() bool { return old.raft.log.committed < lead.raft.log.committed }
 	rounds := 0
 	for ; isBehind(); rounds++ {
-		assert.Assert(t, rounds <= 8, "it has %d of %d entries", old.raft.log.committed, lead.raft.log.committed)
+		assert.Assert(t, rounds <= 8, "after too many heartbeats it has committed %d of %d entries",
+			old.raft.log.committed, lead.raft.log.committed)
 		for _, n := range model.nodes {
 			n.now += testHeartbeatInterval
 		}
@@ -38,7 +39,7 @@
 		assert.NilError(t, model.processReady(1, noCrash, modelFaults{}))
 		for len(model.network) > 0 && isBehind() {
 			deliverNext(t, model)
-			assert.Assert(t, !isBehind() || !old.raft.HasQuorumContact(old.now), "in contact with %d of %d entries",
+			assert.Assert(t, !isBehind() || !old.raft.HasQuorumContact(old.now), "quorum contact reported with %d of %d entries committed",
 				old.raft.log.committed, lead.raft.log.committed)
 		}
 	}
@@ -46,7 +47,7 @@
 	t.Logf("%d heartbeats", rounds)
 }
 
-// The log's time never goes back and never runs faster than real time, over all leaders.
+// The logical time of the log never goes back and never runs faster than real time, across changes of the leader.
 func TestLogTime(t *testing.T) {
 	sim := newSettledSimulation(t, 5, "a", "b", "c")
 	for n := range 5 {
@@ -65,12 +66,12 @@
 	}
 }
 
-// No more entries are in flight than the bound, so that a heartbeat does not wait behind a whole log.
+// The entries in flight to a peer are limited, so that a heartbeat does not wait behind a whole log.
 func TestInflightEntriesAreBounded(t *testing.T) {
 	model := modelWithLeader(t, 3)
-	c := model.nodes[0].raft
+	leader := model.nodes[0].raft
 	for range 100 {
-		c.Propose(model.nodes[0].now, make([]byte, 4<<10))
+		leader.Propose(model.nodes[0].now, make([]byte, 4<<10))
 		assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	}
 	bytes := 0
@@ -81,43 +82,43 @@
 	}
 	assert.Assert(t, bytes >= maxInflightBytes && bytes <= maxInflightBytes+maxBytesPerMessage, "%d", bytes)
 	deliverAll(t, model)
-	assert.Equal(t, model.nodes[1].raft.log.lastIndex(), c.log.lastIndex())
+	assert.Equal(t, model.nodes[1].raft.log.lastIndex(), leader.log.lastIndex())
 }
 
-// A leader does not commit by counting what an earlier leader appended: a third that lacks it may still be elected (Raft paper,
-// figure 8).
-func TestEarlierTermNotCounted(t *testing.T) {
+// A leader does not commit an entry of an earlier term by counting replicas: a member that lacks the entry may still be elected (Raft
+// paper, figure 8).
+func TestEarlierTermNotCommittedByCounting(t *testing.T) {
 	model := modelWithLeader(t, 3)
-	c := model.nodes[0].raft
-	c.Propose(model.nodes[0].now, []byte("of the first term"))
+	leader := model.nodes[0].raft
+	leader.Propose(model.nodes[0].now, []byte("of the first term"))
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	model.network = nil
-	index := c.log.lastIndex()
-	c.changeRole(follower, c.term, 0)
-	c.campaign(campaignElection)
+	index := leader.log.lastIndex()
+	leader.changeRole(follower, leader.term, 0)
+	leader.campaign(campaignElection)
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
-	c.Step(model.nodes[0].now, Message{Kind: VoteResponse, From: 2, To: 1, Term: c.term})
+	leader.Step(model.nodes[0].now, Message{Kind: VoteResponse, From: 2, To: 1, Term: leader.term})
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
-	assert.Assert(t, c.IsLeader() && c.log.lastIndex() == index+1)
-	c.Step(model.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: c.term, Index: index})
-	assert.Assert(t, c.log.committed < index)
-	c.Step(model.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: c.term, Index: index + 1})
-	assert.Equal(t, c.log.committed, index+1)
+	assert.Assert(t, leader.IsLeader() && leader.log.lastIndex() == index+1)
+	leader.Step(model.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: leader.term, Index: index})
+	assert.Assert(t, leader.log.committed < index)
+	leader.Step(model.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: leader.term, Index: index + 1})
+	assert.Equal(t, leader.log.committed, index+1)
 }
 
-// A member starts with the entries that its disk keeps in front of the snapshot, and sends them.
+// After a restart a leader sends lagging followers the catch-up entries from its disk, rather than the snapshot.
 func TestCatchUpEntriesAfterRestart(t *testing.T) {
 	sim := newSimulation(t, 56, "a", "b", "c")
-	lags := sim.isolateFollower(200, 400, 10)
+	laggingAddr := sim.isolateFollower(200, 400, 10)
 	sim.onSend = func(to string, m Message) {
-		assert.Assert(t, to != lags || m.Kind != SnapshotChunk && m.Kind != InstallSnapshot)
+		assert.Assert(t, to != laggingAddr || m.Kind != SnapshotChunk && m.Kind != InstallSnapshot)
 	}
 	for _, a := range sim.addrs() {
-		if a != lags {
+		if a != laggingAddr {
 			sim.crash(a, 100*time.Millisecond)
 		}
 	}
 	sim.run(2 * time.Second)
-	delete(sim.isolated, lags)
+	delete(sim.isolated, laggingAddr)
 	sim.requireComplete("a", "b", "c")
 }
--- a/internal/mesh/raft/rules_test.go
+++ b/internal/mesh/raft/rules_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// modelWithVersion is a model whose first member leads, and whose log states that all speak the present protocol version.
+// modelWithVersion returns a model whose first member leads, and whose log records that all members speak the current protocol version.
 func modelWithVersion(t *testing.T) *modelState {
 	t.Helper()
 	model := modelWithLeader(t, 3)
@@ -20,7 +20,8 @@
 	return model
 }
 
-// modelWithLearner is a model whose first member leads, with a learner of ID 4 at an address that has caught up and asks to join.
+// modelWithLearner returns a model whose first member leads, with a learner of ID 4 at the given address that has asked to join and has
+// caught up.
 func modelWithLearner(t *testing.T, addr string) *modelState {
 	t.Helper()
 	model := modelWithVersion(t)
@@ -28,7 +29,8 @@
 	return model
 }
 
-// addLearner has a learner that holds nothing join the leader at a place, and catch up. No other member hears anything.
+// addLearner makes a learner with an empty disk join the leader at the given position and catch up. Messages to and from other members
+// are lost.
 func addLearner(t *testing.T, model *modelState, leader int, learner Member) {
 	t.Helper()
 	member := &testMember{self: learner}
@@ -60,7 +62,7 @@
 	assert.NilError(t, model.processReady(i, noCrash, modelFaults{}))
 }
 
-// electSecond has the second member be elected by the third, which both miss the first. Nothing else that they send arrives.
+// electSecond makes the second and third member lose contact with the first, and the third elect the second. All other messages are lost.
 func electSecond(t *testing.T, model *modelState) {
 	t.Helper()
 	model.network = nil
@@ -72,7 +74,7 @@
 	model.network = nil
 }
 
-// acknowledge has the leader get the answer of a member to a round of heartbeats: it has the log up to an index.
+// acknowledge delivers to the leader a member's AppendResponse for a heartbeat round, which acknowledges the log up to an index.
 func acknowledge(leader *testMember, from ID, index, round uint64) {
 	leader.raft.Step(leader.now, Message{
 		Kind: AppendResponse, From: from, To: leader.self.ID, Term: leader.raft.Term(), ProtocolVersion: ProtocolVersion,
@@ -80,7 +82,7 @@
 	})
 }
 
-// requestLeave has the leader get the LeaveRequest of a member, and returns the round of heartbeats that it begins.
+// requestLeave delivers a member's LeaveRequest to the leader. It returns the leader's Ready and the heartbeat round that it began.
 func requestLeave(leader *testMember, from ID) (ready Ready, round uint64) {
 	leader.raft.Step(leader.now, Message{
 		Kind: LeaveRequest, From: from, To: leader.self.ID, Term: leader.raft.Term(), ProtocolVersion: ProtocolVersion, Leaving: true,
@@ -89,7 +91,7 @@
 	return ready, ready.MessagesBeforeSave[0].HeartbeatRound
 }
 
-// sentKinds are the kinds of the messages that a member sends next, to one member.
+// sentKinds returns the kinds of the messages in a Ready to one receiver.
 func sentKinds(ready Ready, to ID) (kinds []MessageKind) {
 	for _, m := range slices.Concat(ready.MessagesBeforeSave, ready.MessagesAfterSave) {
 		if m.To == to {
@@ -99,7 +101,7 @@
 	return kinds
 }
 
-// A leader changes no membership before an entry of its own term is committed, though a learner is ready.
+// A leader does not change the membership before an entry of its own term is committed, even if a learner has caught up.
 func TestMembershipChangeWaitsForOwnTerm(t *testing.T) {
 	model := modelWithVersion(t)
 	electSecond(t, model)
@@ -110,17 +112,17 @@
 	deliverBetween(t, model, 2, 4)
 	tick(t, model, 1)
 	_, index := second.Members()
-	assert.Equal(t, index, before, "no entry of its term is committed")
+	assert.Equal(t, index, before, "the configuration changed before an entry of the leader's term was committed")
 
 	tick(t, model, 1)
 	deliverAllExcept(t, model, 1)
 	tick(t, model, 1)
 	members, _ := second.Members()
-	assert.Assert(t, containsMember(members, 4), "once one is, the learner gets its place")
+	assert.Assert(t, containsMember(members, 4), "the learner is not a voter although an entry of the leader's term is committed")
 }
 
-// A change begins only once the configuration before it is committed, the second half of a joint change as well.
-func TestMembershipChangeWaitsForTheLastOne(t *testing.T) {
+// A change begins only once the previous configuration is committed, including the final configuration of a joint change.
+func TestMembershipChangeWaitsForPreviousChange(t *testing.T) {
 	model := modelWithLearner(t, "r2")
 	addLearner(t, model, 0, Member{ID: 5, Addr: "r3"})
 	first := model.nodes[0].raft
@@ -129,15 +131,15 @@
 	for len(model.network) > 0 && first.log.configuration.isJoint() {
 		deliverNext(t, model)
 	}
-	deliverBetween(t, model, 1, 5) // the other learner has caught up
+	deliverBetween(t, model, 1, 5) // so that the other learner catches up
 	_, index := first.Members()
 	assert.Assert(t, !first.log.configuration.isJoint() && index > first.AppliedIndex())
 	tick(t, model, 0)
 	_, now := first.Members()
-	assert.Equal(t, now, index, "the new members alone are not committed yet")
+	assert.Equal(t, now, index, "a change began before the final configuration of the previous one was committed")
 }
 
-// The second half of a joint change comes only once the joint entry is committed; that of an entry before it does not count.
+// The final configuration of a joint change is appended only once the joint entry is committed, not when an earlier entry is.
 func TestJointChangeCompletedOnceCommitted(t *testing.T) {
 	model := modelWithLearner(t, "r3")
 	first := model.nodes[0].raft
@@ -152,8 +154,8 @@
 	assert.Assert(t, first.log.configuration.isJoint() && first.LastIndex() == index+1)
 }
 
-// A configuration that is cut off with the log's end no longer holds.
-func TestConfigurationCutOff(t *testing.T) {
+// When a configuration entry is truncated from the log, the previous configuration is in force again.
+func TestTruncatedConfigurationReverted(t *testing.T) {
 	model := modelWithLearner(t, "r3")
 	first := model.nodes[0].raft
 	_, before := first.Members()
@@ -170,7 +172,7 @@
 	assert.Assert(t, index == before && len(members) == 3 && containsMember(members, 3) && !first.log.configuration.isJoint())
 }
 
-// A member that is to stop gets leave only once the learner that is ready has taken its place.
+// If a learner has caught up, a leaving member is granted leave only once the learner has replaced it.
 func TestLeaveWaitsForReplacement(t *testing.T) {
 	model := modelWithLearner(t, "r4")
 	second := model.nodes[1].raft
@@ -185,8 +187,9 @@
 	assert.Assert(t, second.MayLeave() && second.IsNonMember())
 }
 
-// A member that is to stop gets leave only once those that stay have answered since it asked: one may have lost its disk before.
-func TestLeaveWaitsForAnswers(t *testing.T) {
+// A leaving member is granted leave only once the remaining members have answered since its request: one of them may have lost its disk
+// before.
+func TestLeaveWaitsForResponses(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
 	first.raft.BroadcastCommit(first.now)
@@ -198,21 +201,22 @@
 	assert.Assert(t, slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
 }
 
-// A member that is to stop is not granted leave while a membership change is in progress.
+// A leaving member is not granted leave while a membership change is in progress.
 func TestLeaveWaitsForMembershipChange(t *testing.T) {
 	model := modelWithLearner(t, "r3")
 	first := model.nodes[0]
 	tick(t, model, 0)
 	assert.Assert(t, first.raft.log.configuration.isJoint())
 	_, round := requestLeave(first, 2)
-	for _, id := range []ID{3, 4} { // they have all that is committed, and not the change
+	for _, id := range []ID{3, 4} { // they have everything committed, but not the entry of the change
 		acknowledge(first, id, first.raft.AppliedIndex(), round)
 	}
 	assert.Assert(t, !slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
 }
 
-// What a member has acknowledged beyond the commit index does not count once it got leave, though the leader's disk is behind.
-func TestAcknowledgementBeforeLeaveIsCapped(t *testing.T) {
+// What a member has acknowledged beyond the commit index does not count once it was granted leave. Otherwise the entry would be committed
+// as soon as the leader has saved it.
+func TestLeaveCapsAcknowledgementAtCommit(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
 	index, _, ok := first.raft.Propose(first.now, []byte("x"))
@@ -225,11 +229,11 @@
 	assert.Assert(t, slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
 	first.raft.MarkSaved(unsaved)
 	first.raft.Ready()
-	assert.Equal(t, first.raft.AppliedIndex(), index-1, "it would be on the leader's disk alone")
+	assert.Equal(t, first.raft.AppliedIndex(), index-1, "committed an entry that is only on the leader's disk and that of a leaving member")
 }
 
-// A member ignores what is meant for another that was at its address before: its log is not what the sender thinks.
-func TestMessageForAnother(t *testing.T) {
+// A member ignores messages for a former member at its address: the sender's assumptions about the receiver's log are wrong.
+func TestMessageForFormerMemberIgnored(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	second := model.nodes[1].raft
 	term := second.Term()
@@ -240,8 +244,8 @@
 	}
 }
 
-// A sole voter leads as soon as it votes for itself. No message tells of that term before it is on disk: after a restart it could
-// lead the same term again.
+// A sole voter leads as soon as it votes for itself. It sends no message of that term before the term is on disk: after a crash it could
+// lead in the same term again.
 func TestSoleVoterSavesItsTermFirst(t *testing.T) {
 	model := newModel(1)
 	only := model.nodes[0].raft
@@ -252,8 +256,8 @@
 	assert.Assert(t, ready.HardState != nil && len(ready.MessagesBeforeSave) == 0 && len(sentKinds(ready, 2)) > 0)
 }
 
-// A learner gets a place only once it has all that was committed at the last heartbeat: with an empty log it could not help to commit
-// anything, should another disk be lost.
+// A learner becomes a voter only once it has all entries that were committed at the last regular heartbeat. With an empty log it could not
+// help to commit anything if another disk were lost.
 func TestLearnerCatchesUpFirst(t *testing.T) {
 	model := modelWithVersion(t)
 	first := model.nodes[0].raft
@@ -264,7 +268,7 @@
 	assert.Assert(t, !containsMember(members, 4))
 }
 
-// A leader that steps down answers its pending reads as not confirmed: nobody else will answer them.
+// A leader that steps down completes its pending reads as not confirmed, so that no caller waits forever.
 func TestReadsRejectedOnStepDown(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
@@ -273,9 +277,9 @@
 	assert.DeepEqual(t, first.raft.Ready().ReadStates, []ReadState{{RequestID: 7}})
 }
 
-// A read is confirmed by a round of heartbeats that began after it was asked for: answers to an earlier one do not show that no other
-// member leads since.
-func TestReadNeedsALaterRound(t *testing.T) {
+// A read is confirmed by a heartbeat round that began after the request. Responses to an earlier round do not prove that no other member
+// has become leader since.
+func TestReadNeedsLaterHeartbeatRound(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
 	first.raft.BroadcastCommit(first.now)
@@ -287,8 +291,8 @@
 	assert.DeepEqual(t, first.raft.Ready().ReadStates, []ReadState{{RequestID: 7, Index: first.raft.AppliedIndex()}})
 }
 
-// A read is confirmed by a majority of all members, not by any one of them.
-func TestReadNeedsAQuorum(t *testing.T) {
+// A read is confirmed by a majority of all members, not by a single response.
+func TestReadNeedsQuorum(t *testing.T) {
 	model := modelWithLeader(t, 5)
 	first := model.nodes[0]
 	assert.Assert(t, first.raft.ReadIndex(first.now, 7))
@@ -299,7 +303,7 @@
 	assert.Equal(t, len(first.raft.Ready().ReadStates), 1)
 }
 
-// A leader counts its own entries only once they are on its disk, whoever else has them.
+// A leader counts itself towards the majority for an entry only once the entry is on its own disk.
 func TestLeaderCountsItselfOnceSaved(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
@@ -315,12 +319,11 @@
 	assert.Equal(t, first.raft.AppliedIndex(), index)
 }
 
-// A member that is sent a snapshot acknowledges what is committed, and nothing of what it has behind that: it may conflict with the
-// leader's log.
+// A member that is sent a snapshot acknowledges its log up to the commit index only: later entries may conflict with the leader's log.
 func TestSnapshotAcknowledgedUpToCommit(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
-	first.raft.Propose(first.now, []byte("nobody hears of it"))
+	first.raft.Propose(first.now, []byte("not replicated"))
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	committed := first.raft.AppliedIndex()
 	members, _ := first.raft.Members()
@@ -333,12 +336,12 @@
 	}
 }
 
-// A follower acknowledges and commits only what it has compared with the leader's log: what it has behind that may be from another
-// leader, though the leader has committed as many entries.
-func TestOnlyComparedEntriesCount(t *testing.T) {
+// A follower acknowledges and commits only entries that it has compared with the leader's log. Its later entries may be from another
+// leader, even if the leader's commit index is beyond them.
+func TestOnlyComparedEntriesAcknowledged(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
-	first.raft.Propose(first.now, []byte("nobody hears of it"))
+	first.raft.Propose(first.now, []byte("not replicated"))
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	committed, last, term := first.raft.AppliedIndex(), first.raft.LastIndex(), first.raft.Term()
 	assert.Assert(t, committed < last)
@@ -351,7 +354,7 @@
 	assert.Equal(t, first.raft.AppliedIndex(), committed)
 }
 
-// A log is as up to date as another by its last term first, and by its length where the terms are the same (Raft paper, section 5.4.1).
+// Which log is more up to date is decided by the last term, and by the length if the terms are equal (Raft paper, section 5.4.1).
 func TestLogIsUpToDate(t *testing.T) {
 	l := newRaftLog(Snapshot{Index: 1, Term: 1}, []Entry{{Index: 2, Term: 1}, {Index: 3, Term: 2}}, nil)
 	for _, test := range []struct {
@@ -369,8 +372,8 @@
 	}
 }
 
-// A vote holds for one term: in the next one a member may vote for another.
-func TestVoteHoldsForOneTerm(t *testing.T) {
+// A member votes for one candidate per term. In the next term it may vote for another one.
+func TestOneVotePerTerm(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	third := model.nodes[2]
 	third.now += 3 * testElectionTimeout
@@ -388,8 +391,8 @@
 	}
 }
 
-// A late message cuts nothing off that was appended since: only an entry that conflicts does.
-func TestLateAppendCutsNothingOff(t *testing.T) {
+// A delayed AppendEntries does not truncate entries that were appended after it was sent. Only a conflicting entry truncates the log.
+func TestDelayedAppendDoesNotTruncate(t *testing.T) {
 	l := newRaftLog(Snapshot{Index: 1, Term: 1}, []Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}, {Index: 4, Term: 1}}, nil)
 	l.merge([]Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}})
 	assert.Equal(t, l.lastIndex(), uint64(4))
--- a/internal/mesh/raft/schedule_test.go
+++ b/internal/mesh/raft/schedule_test.go
@@ -15,23 +15,23 @@
 
 const testTickInterval = 50 * time.Millisecond
 
-// randomSchedule plays one random schedule, drawn from a seed, over members in one simulated time: messages are delivered in any order,
-// lost or duplicated, members are restarted at any point of a Ready, stand still, and lose their disks. The model checks each Ready.
+// randomSchedule runs members with a random schedule of events, drawn from a seed, in simulated time. Messages are delivered in any order,
+// lost or duplicated; members crash at any point of processing a Ready, are paused, and lose their disks. The model checks each Ready.
 type randomSchedule struct {
 	modelState
-	rng           *rand.Rand
-	now           time.Duration
-	ticked        time.Duration
-	frozen        map[int]bool
-	nextID        ID
-	founders      []Member
-	diskLosses    int            // so far
-	cutLinks      map[[2]ID]bool // links, from one member to another; 0 in the second place stands for any member
-	leaving       map[int]bool   // members that have begun a planned departure
-	leavesGranted int            // so far
-	faults        modelFaults
-	log           bytes.Buffer // every Ready, in order; only where record was called
-	readCount     uint64
+	rng            *rand.Rand
+	now            time.Duration
+	lastTickAt     time.Duration
+	frozen         map[int]bool // paused members, by position: they process nothing until they continue
+	nextID         ID
+	initialMembers []Member
+	diskLosses     int            // number so far
+	cutLinks       map[[2]ID]bool // interrupted links, by sender and receiver; receiver 0 stands for all
+	leaving        map[int]bool   // members that have begun a planned departure, by position
+	leavesGranted  int            // number so far
+	faults         modelFaults
+	log            bytes.Buffer // every Ready in order, if record was called
+	readCount      uint64
 }
 
 func newRandomSchedule(seed uint64, voters, learners int) *randomSchedule {
@@ -43,7 +43,7 @@
 		cutLinks:   map[[2]ID]bool{},
 		nextID:     100,
 	}
-	s.founders = s.nodes[0].snapshot.Members
+	s.initialMembers = s.nodes[0].snapshot.Members
 	for range learners {
 		n := &testMember{self: Member{s.nextID, fmt.Sprint("r", s.nextID)}}
 		n.start()
@@ -51,13 +51,14 @@
 		s.nextID++
 	}
 	for _, n := range s.nodes {
-		n.maxCatchUpEntries, n.snapshotChunkBytes = []int{0, 4, 40}[s.rng.IntN(3)], 3 // less than a state has, so that a snapshot takes several
+		// The chunks are smaller than the data, so that a snapshot takes several.
+		n.maxCatchUpEntries, n.snapshotChunkBytes = []int{0, 4, 40}[s.rng.IntN(3)], 3
 		n.start()
 	}
 	return s
 }
 
-// run plays a number of events.
+// run runs a number of events.
 func (s *randomSchedule) run(events int) error {
 	for range events {
 		if err := s.event(); err != nil {
@@ -67,19 +68,19 @@
 	return nil
 }
 
-// event is one step of a few milliseconds: some of the messages in flight arrive, and now and then something else happens.
+// event advances the time by a few milliseconds, delivers some of the messages in flight, and at random does one further thing.
 func (s *randomSchedule) event() error {
 	s.now += time.Duration(s.rng.Int64N(int64(10 * time.Millisecond)))
 	due := s.network
 	s.network = nil
 	for _, k := range s.rng.Perm(len(due)) {
 		if s.rng.IntN(3) == 0 {
-			s.network = append(s.network, due[k]) // later
+			s.network = append(s.network, due[k]) // delayed
 		} else if err := s.deliver(due[k]); err != nil {
 			return err
 		}
 	}
-	if s.now-s.ticked > testTickInterval {
+	if s.now-s.lastTickAt > testTickInterval {
 		if err := s.tick(); err != nil {
 			return err
 		}
@@ -108,32 +109,32 @@
 	case x < 300:
 		clear(s.cutLinks)
 	}
-	return s.endGrantedLeaves()
+	return s.restartMembersGrantedLeave()
 }
 
-// replaceMember has a leader replace a member, which may be itself, by a learner that has caught up: more often than members are lost,
-// and at any moment at which a change may begin.
+// replaceMember makes a leader replace a member, which may be itself, with a learner that has caught up. This tests replacement more often
+// than members are lost, and at any moment at which a change may begin.
 func (s *randomSchedule) replaceMember() error {
 	i, ok := s.leader()
 	if !ok {
 		return nil
 	}
-	c := s.nodes[i].raft
-	if !c.mayChangeMembership() {
+	proposer := s.nodes[i].raft
+	if !proposer.mayChangeMembership() {
 		return nil
 	}
-	for _, p := range c.peers {
-		if !p.isVoter && p.isJoining && c.isCaughtUp(p) {
-			to := slices.Clone(c.log.configuration.Members)
+	for _, p := range proposer.peers {
+		if !p.isVoter && p.isJoining && proposer.isCaughtUp(p) {
+			to := slices.Clone(proposer.log.configuration.Members)
 			to[s.rng.IntN(len(to))] = p.Member
-			c.proposeConfiguration(Configuration{Members: to, Outgoing: c.log.configuration.Members, ProtocolVersion: ProtocolVersion})
+			proposer.proposeConfiguration(Configuration{Members: to, Outgoing: proposer.log.configuration.Members, ProtocolVersion: ProtocolVersion})
 			return s.processReady(i, noCrash, s.faults)
 		}
 	}
 	return nil
 }
 
-// cutLink has nothing pass from one member to another, or from one to any.
+// cutLink interrupts the link from one member to another, or from one member to all.
 func (s *randomSchedule) cutLink() {
 	from, to := s.nodes[s.rng.IntN(len(s.nodes))].self.ID, s.nodes[s.rng.IntN(len(s.nodes))].self.ID
 	s.cutLinks[[2]ID{from, to}] = true
@@ -142,7 +143,7 @@
 	}
 }
 
-// leave tells one member to stop.
+// leave begins the planned departure of one member, if no other member is leaving.
 func (s *randomSchedule) leave() error {
 	i := s.rng.IntN(len(s.nodes))
 	if s.frozen[i] || len(s.leaving) > 0 {
@@ -153,9 +154,9 @@
 	return s.processReady(i, noCrash, s.faults)
 }
 
-// endGrantedLeaves stops the members that have been granted leave, and checks that a majority of the voters that stay holds everything
-// acknowledged by then. Each member later starts again with its disk.
-func (s *randomSchedule) endGrantedLeaves() error {
+// restartMembersGrantedLeave restarts the leaving members that may stop, with their disks. For those that were granted leave it checks that
+// a majority of the remaining voters has everything acknowledged so far.
+func (s *randomSchedule) restartMembersGrantedLeave() error {
 	for i := range s.nodes {
 		n := s.nodes[i]
 		if !s.leaving[i] || s.frozen[i] || !n.raft.MayLeave() {
@@ -174,29 +175,29 @@
 	return nil
 }
 
-// checkLeave checks that what is acknowledged is held by a majority of the voters that stay.
+// checkLeave checks that a majority of the remaining voters has all acknowledged entries on disk.
 func (s *randomSchedule) checkLeave(leaving ID) error {
 	configuration := s.latestCommittedConfiguration()
 	staying := slices.DeleteFunc(slices.Clone(configuration.Members), func(m Member) bool { return m.ID == leaving })
 	if configuration.isVoter(leaving) && !hasMajority(staying, func(id ID) bool { return s.stores(id, s.acknowledgedIndex) }) {
-		return fmt.Errorf("%d got leave, and entry %d, which was acknowledged, is not on a majority of %v",
+		return fmt.Errorf("member %d was granted leave, but acknowledged entry %d is not on the disks of a majority of %v",
 			leaving, s.acknowledgedIndex, staying)
 	}
 	return nil
 }
 
-// latestCommittedConfiguration is the latest configuration that was committed.
+// latestCommittedConfiguration returns the latest configuration that was committed.
 func (s *randomSchedule) latestCommittedConfiguration() Configuration {
-	latest := Configuration{Members: s.founders}
-	for index, f := range s.configurations {
+	latest := Configuration{Members: s.initialMembers}
+	for index, configuration := range s.configurations {
 		if index > latest.Index {
-			latest = f
+			latest = configuration
 		}
 	}
 	return latest
 }
 
-// stores reports whether a member's disk holds an entry.
+// stores reports whether a member has an entry on disk, in its log or covered by its snapshot.
 func (s *randomSchedule) stores(id ID, index uint64) bool {
 	for _, n := range s.nodes {
 		if n.self.ID == id {
@@ -206,7 +207,7 @@
 	return false
 }
 
-// deliver has one message arrive, unless it is lost; it may come once more.
+// deliver delivers one message. The message may instead be lost, or stay in flight to be delivered once more, and the receiver may crash.
 func (s *randomSchedule) deliver(m Message) error {
 	i := slices.IndexFunc(s.nodes, func(n *testMember) bool { return n.self.ID == m.To })
 	if i < 0 || s.cutLinks[[2]ID{m.From, m.To}] || s.cutLinks[[2]ID{m.From, 0}] {
@@ -214,32 +215,32 @@
 	}
 	if s.frozen[i] {
 		if s.rng.IntN(10) > 0 {
-			s.network = append(s.network, m) // it waits there, or is lost
+			s.network = append(s.network, m) // delivered later, unless it is lost
 		}
 		return nil
 	}
-	cut := noCrash
+	crash := noCrash
 	switch s.rng.IntN(200) {
 	case 0, 1:
 		return nil
 	case 2, 3:
 		s.network = append(s.network, m)
 	case 4:
-		cut = crashBeforeSync + s.rng.IntN(2)
+		crash = crashBeforeSync + s.rng.IntN(2)
 	}
 	s.nodes[i].now = s.now
 	s.nodes[i].raft.Step(s.now, m)
-	return s.processReady(i, cut, s.faults)
+	return s.processReady(i, crash, s.faults)
 }
 
-// freeze has one member stand still.
+// freeze pauses one member, if none is paused.
 func (s *randomSchedule) freeze() {
 	if len(s.frozen) == 0 {
 		s.frozen[s.rng.IntN(len(s.nodes))] = true
 	}
 }
 
-// restartMember restarts one member.
+// restartMember restarts one member, unless it is paused.
 func (s *randomSchedule) restartMember() error {
 	i := s.rng.IntN(len(s.nodes))
 	if !s.frozen[i] {
@@ -250,9 +251,9 @@
 	return nil
 }
 
-// tick lets each that does not stand still see to what time does.
+// tick calls Tick of each member that is not paused. Non-members ask all others to join, as the caller of the package does.
 func (s *randomSchedule) tick() error {
-	s.ticked = s.now
+	s.lastTickAt = s.now
 	for i, n := range s.nodes {
 		if s.frozen[i] {
 			continue
@@ -275,18 +276,18 @@
 	return nil
 }
 
-// leader draws one of the members that take themselves for the leader and don't stand still.
+// leader returns the position of a random member that considers itself the leader and is not paused.
 func (s *randomSchedule) leader() (int, bool) {
-	var l []int
+	var leaders []int
 	for i, n := range s.nodes {
 		if n.raft.IsLeader() && !s.frozen[i] {
-			l = append(l, i)
+			leaders = append(leaders, i)
 		}
 	}
-	if len(l) == 0 {
+	if len(leaders) == 0 {
 		return 0, false
 	}
-	return l[s.rng.IntN(len(l))], true
+	return leaders[s.rng.IntN(len(leaders))], true
 }
 
 func (s *randomSchedule) propose() error {
@@ -312,18 +313,18 @@
 	return s.processReady(i, noCrash, s.faults)
 }
 
-// loseDisk has one member lose its disk: only while all voters run and none of them has lost its disk before, for the loss of
-// one is what three bear.
+// loseDisk makes one member lose its disk, but only while all voters run and have every acknowledged entry: three voters tolerate one loss
+// at a time.
 func (s *randomSchedule) loseDisk() error {
 	i := s.rng.IntN(len(s.nodes))
 	n := s.nodes[i]
 	lead, ok := s.leader()
-	if !ok || len(s.frozen) > 0 || len(s.leaving) > 0 || len(s.cutLinks) > 0 { // one loss at a time
+	if !ok || len(s.frozen) > 0 || len(s.leaving) > 0 || len(s.cutLinks) > 0 { // another member may be unavailable
 		return nil
 	}
 	for _, n := range s.nodes {
 		if n.raft.Term() > s.nodes[lead].raft.Term() {
-			return nil // it may lead no more
+			return nil // the leader may have been replaced
 		}
 	}
 	members := s.nodes[lead].raft.log.configuration.voters()
@@ -348,19 +349,19 @@
 	return nil
 }
 
-// compact has one member compact its log.
+// compact makes one member compact its log.
 func (s *randomSchedule) compact() error {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if at := n.raft.AppliedIndex(); at > n.raft.log.snapshot.Index {
 		n.compact(fmt.Append(nil, "state at ", at))
 		if err := s.checkSnapshot(n.snapshot); err != nil {
-			return fmt.Errorf("%d makes %w", n.self.ID, err)
+			return fmt.Errorf("member %d makes %w", n.self.ID, err)
 		}
 	}
 	return nil
 }
 
-// scheduleCount is how many schedules TestRandomSchedules plays: RAFT_SCHEDULES, if that is set.
+// scheduleCount returns how many schedules TestRandomSchedules runs: RAFT_SCHEDULES, if that is set.
 func scheduleCount(t *testing.T) uint64 {
 	text := os.Getenv("RAFT_SCHEDULES")
 	switch n, err := strconv.ParseUint(text, 10, 64); {
@@ -374,7 +375,7 @@
 	return 60
 }
 
-// Random schedules break nothing.
+// Random schedules of deliveries and faults violate no invariant.
 func TestRandomSchedules(t *testing.T) {
 	diskLosses, leaves := 0, 0
 	for seed := range scheduleCount(t) {
--- a/internal/mesh/raft/search_state_test.go
+++ b/internal/mesh/raft/search_state_test.go
@@ -35,15 +35,15 @@
 }
 
 func (model *modelState) clone() *modelState {
-	v := *model
-	v.nodes = make([]*testMember, len(model.nodes))
+	state := *model
+	state.nodes = make([]*testMember, len(model.nodes))
 	for i, n := range model.nodes {
-		v.nodes[i] = n.clone()
+		state.nodes[i] = n.clone()
 	}
-	v.network, v.trail = slices.Clone(model.network), slices.Clone(model.trail)
-	v.applied, v.leaders = maps.Clone(model.applied), maps.Clone(model.leaders)
-	v.readFloor, v.configurations = maps.Clone(model.readFloor), maps.Clone(model.configurations)
-	return &v
+	state.network, state.history = slices.Clone(model.network), slices.Clone(model.history)
+	state.applied, state.leaders = maps.Clone(model.applied), maps.Clone(model.leaders)
+	state.readFloor, state.configurations = maps.Clone(model.readFloor), maps.Clone(model.configurations)
+	return &state
 }
 
 // stateHash hashes numbers and bytes.
@@ -71,7 +71,7 @@
 	return hash.Sum64()
 }
 
-// hash tells states apart. Times count by what they lead to, so they are left out.
+// hash identifies a state. Times are left out: they only matter through their effects, which are part of the state.
 func (model *modelState) hash() uint64 {
 	h := &stateHash{buffer: make([]byte, 0, 1<<10)}
 	for _, n := range model.nodes {
@@ -79,7 +79,7 @@
 	}
 	messages := make([]string, 0, len(model.network))
 	for _, m := range model.network {
-		messages = append(messages, m.modelText())
+		messages = append(messages, m.modelKey())
 	}
 	slices.Sort(messages)
 	for _, text := range messages {
@@ -129,8 +129,8 @@
 	h.numbers(n.hardState.Term, uint64(n.hardState.Vote), n.snapshot.Index, uint64(len(n.log)), uint64(n.disksLost))
 }
 
-// modelText tells messages apart.
-func (m Message) modelText() string {
+// modelKey identifies a message in a state.
+func (m Message) modelKey() string {
 	h := &stateHash{buffer: make([]byte, 0, 64)}
 	h.numbers(uint64(m.Kind), uint64(m.From), uint64(m.To), m.Term, m.Index, m.LogTerm, m.Commit, m.Hint, m.Offset)
 	h.numbers(uint64(len(m.Entries)))
--- a/internal/mesh/raft/search_test.go
+++ b/internal/mesh/raft/search_test.go
@@ -12,57 +12,57 @@
 	"cranegrade/internal/testkit"
 )
 
-// searchOptions say what a search tries beyond every order of deliveries. Each of crashes, loss, duplicates and wipes takes one of the
-// model's faultsLeft.
+// searchOptions select what a search tries in addition to all orders of deliveries. Each crash, loss, duplicate and lost disk uses up one
+// of the model's faultsLeft.
 type searchOptions struct {
-	crashes    bool // before and after the sync of a Ready
-	loss       bool // of messages
-	duplicates bool // of messages
-	wipes      bool // one member loses its disk
-	reads      bool // leaders, or those that take themselves for one, are asked for a confirmed read
-	mayElect   ID   // the only one that misses its leader, or 0 if any may
+	crashes       bool // before and after the sync of a Ready
+	loss          bool // of messages
+	duplicates    bool // of messages
+	diskLoss      bool // of one member
+	reads         bool // members that consider themselves leader are asked for a linearizable read
+	onlyCandidate ID   // the only member whose election timeout may expire; 0 if that of any may
 }
 
-// successors collects the states that one step of a state leads to, until a step breaks an invariant.
+// successors collects the states that are reachable from a state by one step, until a step violates an invariant.
 type successors struct {
-	from   *modelState
-	faults modelFaults
-	o      searchOptions
-	states []*modelState
-	err    error
+	from    *modelState
+	faults  modelFaults
+	options searchOptions
+	states  []*modelState
+	err     error
 }
 
 // step takes one step on a copy of the state.
-func (s *successors) step(name string, take func(v *modelState) error) {
+func (s *successors) step(name string, apply func(state *modelState) error) {
 	if s.err != nil {
 		return
 	}
-	v := s.from.clone()
-	v.trail = append(v.trail, name)
-	if err := take(v); err != nil {
-		s.err = fmt.Errorf("%v: %w", v.trail, err)
+	state := s.from.clone()
+	state.history = append(state.history, name)
+	if err := apply(state); err != nil {
+		s.err = fmt.Errorf("%v: %w", state.history, err)
 		return
 	}
-	s.states = append(s.states, v)
+	s.states = append(s.states, state)
 }
 
-// fault takes one step that costs one of the faults that are left, if it is to be tried.
-func (s *successors) fault(isTried bool, name string, take func(v *modelState) error) {
-	if isTried && s.from.faultsLeft > 0 {
-		s.step(name, func(v *modelState) error {
-			v.faultsLeft--
-			return take(v)
+// fault takes one step that uses up one of the remaining faults, if isEnabled is set and a fault remains.
+func (s *successors) fault(isEnabled bool, name string, apply func(state *modelState) error) {
+	if isEnabled && s.from.faultsLeft > 0 {
+		s.step(name, func(state *modelState) error {
+			state.faultsLeft--
+			return apply(state)
 		})
 	}
 }
 
-// successors returns every state that one step leads to.
-func (model *modelState) successors(faults modelFaults, o searchOptions) ([]*modelState, error) {
-	s := &successors{from: model, faults: faults, o: o}
-	for k, m := range model.network {
-		isKnown := slices.ContainsFunc(model.network[:k], func(earlier Message) bool { return earlier.modelText() == m.modelText() })
-		if !isKnown {
-			s.deliver(k, m)
+// successors returns all states that are reachable by one step.
+func (model *modelState) successors(faults modelFaults, options searchOptions) ([]*modelState, error) {
+	s := &successors{from: model, faults: faults, options: options}
+	for index, m := range model.network {
+		isDuplicate := slices.ContainsFunc(model.network[:index], func(earlier Message) bool { return earlier.modelKey() == m.modelKey() })
+		if !isDuplicate {
+			s.deliver(index, m)
 		}
 	}
 	for i := range model.nodes {
@@ -71,81 +71,81 @@
 	return s.states, s.err
 }
 
-// deliver delivers one message, with the receiver crashing, or has it be lost or duplicated.
-func (s *successors) deliver(k int, m Message) {
+// deliver tries to deliver one message, also with a crash of the receiver, and to lose or duplicate it.
+func (s *successors) deliver(index int, m Message) {
 	i := s.from.indexOf(m.To)
-	take := func(v *modelState, crash int) error {
-		v.network = slices.Delete(slices.Clone(v.network), k, k+1)
+	apply := func(state *modelState, crash int) error {
+		state.network = slices.Delete(slices.Clone(state.network), index, index+1)
 		if i < 0 {
 			return nil
 		}
-		v.nodes[i].raft.Step(v.nodes[i].now, m)
-		return v.processReady(i, crash, s.faults)
+		state.nodes[i].raft.Step(state.nodes[i].now, m)
+		return state.processReady(i, crash, s.faults)
 	}
 	text := fmt.Sprint(" ", m.Kind, m.From, m.To)
-	s.step("deliver"+text, func(v *modelState) error { return take(v, noCrash) })
-	s.fault(s.o.crashes, "crash before sync"+text, func(v *modelState) error { return take(v, crashBeforeSync) })
-	s.fault(s.o.crashes, "crash after sync"+text, func(v *modelState) error { return take(v, crashAfterSync) })
-	s.fault(s.o.loss, "lose"+text, func(v *modelState) error {
-		v.network = slices.Delete(slices.Clone(v.network), k, k+1)
+	s.step("deliver"+text, func(state *modelState) error { return apply(state, noCrash) })
+	s.fault(s.options.crashes, "crash before sync"+text, func(state *modelState) error { return apply(state, crashBeforeSync) })
+	s.fault(s.options.crashes, "crash after sync"+text, func(state *modelState) error { return apply(state, crashAfterSync) })
+	s.fault(s.options.loss, "lose"+text, func(state *modelState) error {
+		state.network = slices.Delete(slices.Clone(state.network), index, index+1)
 		return nil
 	})
-	s.fault(s.o.duplicates, "duplicate"+text, func(v *modelState) error {
-		v.network = append(v.network, m)
-		return take(v, noCrash)
+	s.fault(s.options.duplicates, "duplicate"+text, func(state *modelState) error {
+		state.network = append(state.network, m)
+		return apply(state, noCrash)
 	})
 }
 
-// act has one member do what no message starts.
+// act tries the steps of one member that no message triggers.
 func (s *successors) act(i int) {
-	n, o := s.from.nodes[i], s.o
+	n, options := s.from.nodes[i], s.options
 	isLeader := n.raft.IsLeader()
-	if !isLeader && (o.mayElect == 0 || o.mayElect == n.self.ID) && n.raft.Term() < 5 && len(s.from.network) < 8 {
-		s.step(fmt.Sprint("miss the leader ", n.self.ID), func(v *modelState) error {
-			v.nodes[i].now += 3 * testElectionTimeout
-			v.nodes[i].raft.Tick(v.nodes[i].now)
-			return v.processReady(i, noCrash, s.faults)
+	if !isLeader && (options.onlyCandidate == 0 || options.onlyCandidate == n.self.ID) && n.raft.Term() < 5 && len(s.from.network) < 8 {
+		s.step(fmt.Sprint("miss the leader ", n.self.ID), func(state *modelState) error {
+			state.nodes[i].now += 3 * testElectionTimeout
+			state.nodes[i].raft.Tick(state.nodes[i].now)
+			return state.processReady(i, noCrash, s.faults)
 		})
 	}
-	if o.reads && isLeader && len(s.from.readFloor) < 2 {
-		s.step(fmt.Sprint("read ", n.self.ID), func(v *modelState) error { return v.readAt(i, s.faults) })
+	if options.reads && isLeader && len(s.from.readFloor) < 2 {
+		s.step(fmt.Sprint("read ", n.self.ID), func(state *modelState) error { return state.readAt(i, s.faults) })
 	}
 	if isLeader && s.from.leaderTicksLeft > 0 {
-		s.step(fmt.Sprint("heartbeat ", n.self.ID), func(v *modelState) error {
-			v.leaderTicksLeft--
-			v.nodes[i].now += testHeartbeatInterval
-			v.nodes[i].raft.Tick(v.nodes[i].now)
-			return v.processReady(i, noCrash, s.faults)
+		s.step(fmt.Sprint("heartbeat ", n.self.ID), func(state *modelState) error {
+			state.leaderTicksLeft--
+			state.nodes[i].now += testHeartbeatInterval
+			state.nodes[i].raft.Tick(state.nodes[i].now)
+			return state.processReady(i, noCrash, s.faults)
 		})
 	}
 	if isLeader && s.from.compactionsLeft > 0 && n.raft.AppliedIndex() > n.snapshot.Index {
-		s.step(fmt.Sprint("compact ", n.self.ID), func(v *modelState) error {
-			v.compactionsLeft--
-			v.nodes[i].compact([]byte("state"))
-			return v.checkSnapshot(v.nodes[i].snapshot)
+		s.step(fmt.Sprint("compact ", n.self.ID), func(state *modelState) error {
+			state.compactionsLeft--
+			state.nodes[i].compact([]byte("state"))
+			return state.checkSnapshot(state.nodes[i].snapshot)
 		})
 	}
 	if isLeader && s.from.proposed < 2 {
-		s.step(fmt.Sprint("propose ", n.self.ID), func(v *modelState) error {
-			v.proposed++
-			v.nodes[i].raft.Propose(v.nodes[i].now, []byte{byte('a' + v.proposed)})
-			return v.processReady(i, noCrash, s.faults)
+		s.step(fmt.Sprint("propose ", n.self.ID), func(state *modelState) error {
+			state.proposed++
+			state.nodes[i].raft.Propose(state.nodes[i].now, []byte{byte('a' + state.proposed)})
+			return state.processReady(i, noCrash, s.faults)
 		})
 	}
 	if !slices.ContainsFunc(s.from.nodes, func(x *testMember) bool { return x.disksLost > 0 }) {
-		s.fault(o.wipes, fmt.Sprint("lose the disk of ", n.self.ID), func(v *modelState) error {
-			v.nodes[i].loseDisk(ID(100+i), s.faults)
+		s.fault(options.diskLoss, fmt.Sprint("lose the disk of ", n.self.ID), func(state *modelState) error {
+			state.nodes[i].loseDisk(ID(100+i), s.faults)
 			return nil
 		})
 	}
 }
 
-// readAt asks one member for a confirmed read.
+// readAt requests a linearizable read from one member.
 func (model *modelState) readAt(i int, faults modelFaults) error {
 	id := uint64(len(model.readFloor) + 1)
 	n := model.nodes[i]
 	model.readFloor[id] = model.acknowledgedIndex
-	if faults.localLease && n.raft.HasQuorumContact(n.now) {
+	if faults.leaseReads && n.raft.HasQuorumContact(n.now) {
 		n.raft.answerRead(ReadState{RequestID: id, Index: n.raft.log.committed})
 	} else if !n.raft.ReadIndex(n.now, id) {
 		return nil
@@ -153,46 +153,46 @@
 	return model.processReady(i, noCrash, faults)
 }
 
-// loseDisk has a member start with an empty disk, which gives it another ID.
+// loseDisk restarts a member with an empty disk and another ID, unless the fault keepIDAfterDiskLoss is set.
 func (n *testMember) loseDisk(id ID, faults modelFaults) {
 	n.disksLost++
 	n.hardState, n.log = HardState{}, nil
-	if !faults.keepWipedID {
+	if !faults.keepIDAfterDiskLoss {
 		n.self.ID, n.snapshot = id, Snapshot{}
 	}
 	n.start()
 }
 
-// exploreStates visits states, the first found first, until there are no more or most were found.
-func exploreStates(model *modelState, faults modelFaults, o searchOptions, most int) (states int, err error) {
+// exploreStates visits states in breadth-first order, until there are no new ones or maxStates were found.
+func exploreStates(model *modelState, faults modelFaults, options searchOptions, maxStates int) (states int, err error) {
 	seen := map[uint64]bool{model.hash(): true}
 	queue := []*modelState{model}
 	for len(queue) > 0 {
 		from := queue[0]
 		queue[0], queue = nil, queue[1:]
-		next, err := from.successors(faults, o)
+		next, err := from.successors(faults, options)
 		if err != nil {
 			return len(seen), err
 		}
-		for _, v := range next {
-			if k := v.hash(); !seen[k] && len(seen) < most {
-				seen[k] = true
-				queue = append(queue, v)
+		for _, state := range next {
+			if key := state.hash(); !seen[key] && len(seen) < maxStates {
+				seen[key] = true
+				queue = append(queue, state)
 			}
 		}
 	}
 	return len(seen), nil
 }
 
-// requireNothingFound explores states, in which no invariant may be broken.
-func requireNothingFound(t *testing.T, model *modelState, o searchOptions) {
+// requireNoViolation explores states and fails the test if an invariant is violated.
+func requireNoViolation(t *testing.T, model *modelState, options searchOptions) {
 	t.Helper()
-	states, err := exploreStates(model, modelFaults{}, o, maxSearchStates(t))
+	states, err := exploreStates(model, modelFaults{}, options, maxSearchStates(t))
 	assert.NilError(t, err)
 	t.Logf("%d states", states)
 }
 
-// maxSearchStates is how many a search visits at most: RAFT_STATES, if that is set.
+// maxSearchStates returns how many states a search visits at most: RAFT_STATES, if that is set.
 func maxSearchStates(t *testing.T) int {
 	text := os.Getenv("RAFT_STATES")
 	switch n, err := strconv.Atoi(text); {
@@ -206,19 +206,19 @@
 	return 5_000
 }
 
-// No order of deliveries, crashes, lost messages, lost disks and elections breaks an invariant.
-func TestAllOrders(t *testing.T) {
+// No order of deliveries, crashes, lost messages, lost disks and elections violates an invariant.
+func TestSearchEventOrders(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		hasLeader  bool
 		faultsLeft int
-		o          searchOptions
+		options    searchOptions
 	}{
-		{"from nothing", false, 1, searchOptions{crashes: true, loss: true, duplicates: true}},
+		{"without a leader", false, 1, searchOptions{crashes: true, loss: true, duplicates: true}},
 		{"with a leader, one crash or loss", true, 1, searchOptions{crashes: true, loss: true, duplicates: true}},
-		{"with a leader, crashes, and one that misses it", true, 2, searchOptions{crashes: true, mayElect: 3}},
-		{"with a leader, one disk lost", true, 2, searchOptions{crashes: true, wipes: true, mayElect: 3}},
-		{"with a leader that stands still, and reads", true, 0, searchOptions{reads: true}},
+		{"with a leader, crashes and one election timeout", true, 2, searchOptions{crashes: true, onlyCandidate: 3}},
+		{"with a leader, one disk lost", true, 2, searchOptions{crashes: true, diskLoss: true, onlyCandidate: 3}},
+		{"with a leader that does not tick, and reads", true, 0, searchOptions{reads: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			model := newModel(3)
@@ -226,39 +226,39 @@
 				model = modelWithLeader(t, 3)
 			}
 			model.faultsLeft = test.faultsLeft
-			requireNothingFound(t, model, test.o)
+			requireNoViolation(t, model, test.options)
 		})
 	}
 }
 
-// Two ask for votes in one term; the third votes, restarts, and is asked again.
-func TestOrdersOfTwoCandidates(t *testing.T) {
+// Two members ask for votes in the same term. The third votes for one of them, restarts, and is asked by the other.
+func TestSearchTwoCandidates(t *testing.T) {
 	model := newModel(3)
 	for i := range 2 {
-		model.missLeader(t, i)
+		model.expireElectionTimeout(t, i)
 	}
-	for range 4 { // the third tells both that it would vote for them
-		k := slices.IndexFunc(model.network, func(m Message) bool {
+	for range 4 { // the third member grants both pre-votes
+		index := slices.IndexFunc(model.network, func(m Message) bool {
 			return m.Kind == PreVote && m.To == 3 || m.Kind == PreVoteResponse && m.From == 3
 		})
-		model.network[0], model.network[k] = model.network[k], model.network[0]
+		model.network[0], model.network[index] = model.network[index], model.network[0]
 		deliverNext(t, model)
 	}
 	model.faultsLeft = 1
-	requireNothingFound(t, model, searchOptions{crashes: true, mayElect: 9})
+	requireNoViolation(t, model, searchOptions{crashes: true, onlyCandidate: 9})
 }
 
-// The third has lost its disk, and what it is now is a learner that has caught up: every order of its replacement, with the leader's
-// heartbeats, crashes, lost messages, others that miss the leader, and compactions, after which a snapshot goes in chunks.
-func TestOrdersOfAReplacement(t *testing.T) {
+// The third member has lost its disk and come back as a learner that has caught up. The search tries all orders of its replacement, with
+// heartbeats, crashes, lost messages, elections, and compactions, after which a snapshot is sent in chunks.
+func TestSearchReplacement(t *testing.T) {
 	for _, test := range []struct {
 		name                        string
 		faultsLeft, compactionsLeft int
-		o                           searchOptions
+		options                     searchOptions
 	}{
-		{"crashes and losses", 1, 0, searchOptions{crashes: true, loss: true, mayElect: 2}},
-		{"the learner misses the leader", 0, 0, searchOptions{mayElect: 4}},
-		{"a snapshot in chunks", 1, 1, searchOptions{loss: true, duplicates: true, mayElect: 2}},
+		{"crashes and losses", 1, 0, searchOptions{crashes: true, loss: true, onlyCandidate: 2}},
+		{"election timeout of the learner", 0, 0, searchOptions{onlyCandidate: 4}},
+		{"a snapshot in chunks", 1, 1, searchOptions{loss: true, duplicates: true, onlyCandidate: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			model := modelWithLeader(t, 3)
@@ -276,22 +276,23 @@
 				deliverAll(t, model)
 			}
 			model.leaderTicksLeft, model.faultsLeft, model.compactionsLeft = 3, test.faultsLeft, test.compactionsLeft
-			requireNothingFound(t, model, test.o)
+			requireNoViolation(t, model, test.options)
 		})
 	}
 }
 
-// isolateFirst has the second and the third hear nothing of the first for long. The second has asked the third for its vote.
+// isolateFirst makes the election timeouts of the second and third member expire without messages from the first. The second member has
+// asked the third for a pre-vote.
 func isolateFirst(t *testing.T, model *modelState) {
 	t.Helper()
-	model.missLeader(t, 2)
+	model.expireElectionTimeout(t, 2)
 	model.network = nil
-	model.missLeader(t, 1)
+	model.expireElectionTimeout(t, 1)
 	model.network = slices.DeleteFunc(model.network, func(m Message) bool { return m.To == 1 })
 }
 
-// changeMembersAtFirst has the first, which the second and the third don't hear, make these the members in one step, with two that
-// are new.
+// changeMembersAtFirst makes the first member, which the second and third cannot reach, change the configuration to the given members in
+// one step. The members 4 and 5 are new.
 func changeMembersAtFirst(t *testing.T, model *modelState, members ...Member) {
 	t.Helper()
 	for _, self := range []Member{{4, "r4"}, {5, "r5"}} {
@@ -300,7 +301,7 @@
 		model.nodes = append(model.nodes, n)
 	}
 	isolateFirst(t, model)
-	asked := model.network
+	requests := model.network
 	model.network = nil
 	first := model.nodes[0]
 	first.raft.appendAsLeader(Entry{Kind: EntryConfiguration, Members: members})
@@ -309,10 +310,10 @@
 	first.raft.Propose(first.now, []byte("x"))
 	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	deliverAllExcept(t, model, 2, 3)
-	model.network = asked
+	model.network = requests
 }
 
-// proposeToSecond has the first propose something, of which the third hears nothing.
+// proposeToSecond makes the first member propose a command. The messages to the third member are lost.
 func proposeToSecond(t *testing.T, model *modelState) {
 	t.Helper()
 	first := model.nodes[0]
@@ -322,29 +323,29 @@
 	model.network = slices.DeleteFunc(model.network, func(m Message) bool { return m.To == 3 })
 }
 
-// The searches find what is wrong with members that are made wrong.
-func TestSearchFindsFaults(t *testing.T) {
+// The search finds faults that are injected into the members, so that a search without findings is meaningful.
+func TestSearchFindsInjectedFaults(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		faults modelFaults
-		o      searchOptions
-		before func(t *testing.T, model *modelState) // what has happened before the search begins
+		name    string
+		faults  modelFaults
+		options searchOptions
+		before  func(t *testing.T, model *modelState) // prepares the state from which the search begins
 	}{
-		{"an answer before the sync", modelFaults{noSync: true}, searchOptions{crashes: true, mayElect: 3}, proposeToSecond},
+		{"a message sent before the sync", modelFaults{sendBeforeSync: true}, searchOptions{crashes: true, onlyCandidate: 3}, proposeToSecond},
 		{
 			"a member that lost its disk keeps its ID and votes",
-			modelFaults{keepWipedID: true},
-			searchOptions{wipes: true, mayElect: 3},
+			modelFaults{keepIDAfterDiskLoss: true},
+			searchOptions{diskLoss: true, onlyCandidate: 3},
 			func(t *testing.T, model *modelState) {
 				proposeToSecond(t, model)
 				deliverAllExcept(t, model, 3)
 			},
 		},
-		{"a lease by the leader's own clock", modelFaults{localLease: true}, searchOptions{reads: true, mayElect: 9}, isolateFirst},
+		{"reads served by a clock-based leader lease", modelFaults{leaseReads: true}, searchOptions{reads: true, onlyCandidate: 9}, isolateFirst},
 		{
-			"two members changed at once",
+			"two members changed in one step",
 			modelFaults{},
-			searchOptions{mayElect: 9},
+			searchOptions{onlyCandidate: 9},
 			func(t *testing.T, model *modelState) {
 				changeMembersAtFirst(t, model, Member{1, "r1"}, Member{4, "r4"}, Member{5, "r5"})
 			},
@@ -354,15 +355,15 @@
 			model := modelWithLeader(t, 3)
 			model.faultsLeft = 1
 			test.before(t, model)
-			states, err := exploreStates(model, test.faults, test.o, 100_000)
-			assert.Assert(t, err != nil, "not found in %d states", states)
+			states, err := exploreStates(model, test.faults, test.options, 100_000)
+			assert.Assert(t, err != nil, "fault not found in %d states", states)
 			t.Logf("%d states: %v", states, err)
 		})
 	}
-	t.Run("one member added is no fault", func(t *testing.T) {
+	t.Run("one member added in one step is safe", func(t *testing.T) {
 		model := modelWithLeader(t, 3)
 		changeMembersAtFirst(t, model, Member{1, "r1"}, Member{2, "r2"}, Member{3, "r3"}, Member{4, "r4"})
-		states, err := exploreStates(model, modelFaults{}, searchOptions{mayElect: 9}, 500)
+		states, err := exploreStates(model, modelFaults{}, searchOptions{onlyCandidate: 9}, 500)
 		assert.NilError(t, err, "%d states", states)
 	})
 }
--- a/internal/mesh/raft/simulation_test.go
+++ b/internal/mesh/raft/simulation_test.go
@@ -12,21 +12,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// simulation plays members in simulated time: messages take a few milliseconds, may be lost, and links may be cut.
+// simulation runs members in simulated time. Messages take a few milliseconds and may be lost, and links may be interrupted.
 type simulation struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     time.Duration
-	step    time.Duration          // by which time goes on
+	step    time.Duration          // by which now advances
 	members map[string]*testMember // by address
 
 	queue    []delayedMessage
 	loss     float64            // share of messages that are lost
-	isolated map[string]bool    // addresses that nobody reaches, and that reach nobody
-	cutLinks map[[2]string]bool // from one address to another
+	isolated map[string]bool    // addresses whose messages, to and from, are lost
+	cutLinks map[[2]string]bool // interrupted links, by sender and receiver
 
-	acknowledged  map[uint64]string // what a write has waited for, by index
-	applied       map[uint64]string // what some member has applied, by index
+	acknowledged  map[uint64]string // entries that a write was acknowledged for, by index
+	applied       map[uint64]string // entries that some member has applied, by index
 	leadersByTerm map[uint64]ID
 
 	onSend    func(to string, m Message) // called with each message that is sent; may be nil
@@ -37,9 +37,9 @@
 
 // delayedMessage is a message in flight between two addresses.
 type delayedMessage struct {
-	at       time.Duration // of its arrival
-	from, to string
-	message  Message
+	arrivesAt time.Duration
+	from, to  string
+	message   Message
 }
 
 func newSimulation(t *testing.T, seed uint64, addrs ...string) *simulation {
@@ -73,8 +73,8 @@
 	return sim
 }
 
-// newSimulationWithLearner returns a simulation of the members a, b and c in small steps, with one entry written, and of d, a learner
-// with an ID that has caught up.
+// newSimulationWithLearner returns a simulation, in small steps, of the members a, b and c with one entry written, and of the learner d,
+// which has the given ID and has caught up.
 func newSimulationWithLearner(t *testing.T, seed uint64, learner ID) *simulation {
 	t.Helper()
 	sim := newSimulation(t, seed, "a", "b", "c")
@@ -86,14 +86,14 @@
 	return sim
 }
 
-// startEmpty starts a member with an empty disk, in the place of any that is at its address.
+// startEmpty starts a member with an empty disk. It replaces the member at the same address, if there is one.
 func (sim *simulation) startEmpty(addr string, id ID) {
 	n := &testMember{self: Member{id, addr}, now: sim.now}
 	n.start()
 	sim.members[addr] = n
 }
 
-// startLegacy has those members speak protocol version 0 whose bits are set in a mask, in the order of their addresses.
+// startLegacy restarts the members whose bits are set in mask with protocol version 0. Bit 0 is the first address in sorted order.
 func (sim *simulation) startLegacy(mask int) {
 	for i, addr := range sim.addrs() {
 		if n := sim.members[addr]; mask>>i&1 == 1 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// processReady lets a member carry out its Readys, and sends what it has to say.
+// processReady makes a member process its Readys, and sends its messages.
 func (sim *simulation) processReady(addr string) {
 	sim.t.Helper()
 	n := sim.members[addr]
@@ -120,8 +120,8 @@
 	}
 }
 
-// addrOf is where a message of a member goes: to the address that the member knows, else, as the caller of the package would find it,
-// to that of the receiver.
+// addrOf returns the address to which a member's message is sent: the one that the member knows for the receiver, or else, as the caller
+// of the package would find it, the receiver's current address.
 func (sim *simulation) addrOf(from *testMember, m Message) string {
 	if m.Kind == NotMember && m.Addr != "" {
 		return m.Addr
@@ -146,11 +146,11 @@
 	}
 	if sim.rng.Float64() >= sim.loss {
 		delay := time.Millisecond + time.Duration(sim.rng.Int64N(int64(5*time.Millisecond)))
-		sim.queue = append(sim.queue, delayedMessage{at: sim.now + delay, from: from, to: to, message: m})
+		sim.queue = append(sim.queue, delayedMessage{arrivesAt: sim.now + delay, from: from, to: to, message: m})
 	}
 }
 
-// run lets time pass.
+// run advances the time by d, in steps.
 func (sim *simulation) run(d time.Duration) {
 	for end := sim.now + d; sim.now < end; {
 		sim.now += sim.step
@@ -172,7 +172,7 @@
 		from, to := delayed.from, delayed.to
 		n := sim.members[to]
 		switch {
-		case delayed.at > sim.now:
+		case delayed.arrivesAt > sim.now:
 			sim.queue = append(sim.queue, delayed)
 		case n == nil || sim.isolated[to] || sim.isolated[from] || sim.cutLinks[[2]string{from, to}]: // lost
 		default:
@@ -182,7 +182,7 @@
 	}
 }
 
-// tick lets one member see the time. A non-member asks all addresses to join, as the caller of the package does.
+// tick calls Tick of one member. A non-member asks all addresses to join, as the caller of the package does.
 func (sim *simulation) tick(addr string) {
 	n := sim.members[addr]
 	n.now = sim.now
@@ -197,17 +197,17 @@
 	sim.processReady(addr)
 }
 
-// runUntil lets time pass until something holds.
-func (sim *simulation) runUntil(d time.Duration, holds func() bool) bool {
+// runUntil advances the time by up to d until a condition is true, and reports whether it is.
+func (sim *simulation) runUntil(d time.Duration, condition func() bool) bool {
 	for end := sim.now + d; sim.now < end; sim.run(sim.step) {
-		if holds() {
+		if condition() {
 			return true
 		}
 	}
-	return holds()
+	return condition()
 }
 
-// deliver gives a member a message, as much of it as its protocol version knows.
+// deliver delivers a message to a member, without the parts that the member's protocol version does not support.
 func (sim *simulation) deliver(n *testMember, m Message) {
 	if n.legacyProtocol {
 		if m.Kind > lastVersion0Kind {
@@ -226,15 +226,15 @@
 	n.raft.Step(sim.now, m)
 }
 
-// addrs are the addresses of all members, sorted.
+// addrs returns the addresses of all members, sorted.
 func (sim *simulation) addrs() []string { return slices.Sorted(maps.Keys(sim.members)) }
 
-// othersThan are the addresses of all members but some, sorted.
+// othersThan returns the addresses of all members except some, sorted.
 func (sim *simulation) othersThan(except ...string) []string {
 	return slices.DeleteFunc(sim.addrs(), func(addr string) bool { return slices.Contains(except, addr) })
 }
 
-// leader returns the member that leads the latest term, of those that are not isolated, or nil if there is none.
+// leader returns the leader of the latest term among the members that are not isolated, or nil if there is none.
 func (sim *simulation) leader() *testMember {
 	var best *testMember
 	for _, a := range sim.addrs() {
@@ -255,7 +255,7 @@
 	return addr
 }
 
-// follower is the first address whose member does not lead.
+// follower returns the first address whose member does not lead.
 func (sim *simulation) follower() string {
 	for _, a := range sim.addrs() {
 		if !sim.members[a].raft.IsLeader() {
@@ -265,7 +265,7 @@
 	return ""
 }
 
-// write has a command committed and waits for it.
+// write proposes a command and waits until it is committed.
 func (sim *simulation) write(text string) {
 	sim.t.Helper()
 	for range 200 {
@@ -274,7 +274,7 @@
 		}
 		sim.run(10 * time.Millisecond)
 	}
-	sim.t.Fatalf("%q is not committed", text)
+	sim.t.Fatalf("command %q was not committed in time", text)
 }
 
 // tryWrite proposes a command, waits until an entry is committed at its index, and reports whether that is the command.
@@ -298,7 +298,7 @@
 	return false
 }
 
-// proposeMany has so many commands committed, ten at once.
+// proposeMany proposes n commands, ten at a time, and waits until they are committed.
 func (sim *simulation) proposeMany(n int) {
 	sim.t.Helper()
 	for i := range n {
@@ -313,7 +313,7 @@
 	sim.write("after the changes")
 }
 
-// crash has a member start again with its disk after a while.
+// crash isolates a member for a while and then restarts it with its disk.
 func (sim *simulation) crash(addr string, down time.Duration) {
 	n := sim.members[addr]
 	sim.isolated[addr] = true
@@ -323,7 +323,7 @@
 	delete(sim.isolated, addr)
 }
 
-// endProcess ends the process of a member. If isReported is set, the others learn that its address refuses connections.
+// endProcess isolates a member, as if its process had ended. If isReported is set, the exit is reported to the others.
 func (sim *simulation) endProcess(addr string, isReported bool) {
 	id := sim.members[addr].self.ID
 	sim.isolated[addr] = true
@@ -334,7 +334,7 @@
 	}
 }
 
-// leave begins a member's planned departure, and reports whether it may leave in time.
+// leave begins a member's planned departure, and reports whether it may leave within a time.
 func (sim *simulation) leave(addr string, within time.Duration) bool {
 	n := sim.members[addr]
 	n.raft.BeginLeave(sim.now)
@@ -342,8 +342,8 @@
 	return sim.runUntil(within, n.raft.MayLeave)
 }
 
-// isolateFollower has a follower miss so many commands, and the others compact their logs, keeping so many entries in front of snapshots
-// of a size in bytes. It returns the follower's address.
+// isolateFollower isolates a follower, commits a number of commands, and makes the other members compact their logs to snapshots of size
+// bytes, keeping a number of catch-up entries. It returns the follower's address.
 func (sim *simulation) isolateFollower(commands, keep, size int) string {
 	sim.t.Helper()
 	sim.run(2 * time.Second)
@@ -351,21 +351,22 @@
 		n.maxCatchUpEntries, n.snapshotChunkBytes = keep, 1<<10
 		n.raft.config.MaxCatchUpEntries, n.raft.config.SnapshotChunkBytes = keep, 1<<10
 	}
-	lags := sim.follower()
-	sim.isolated[lags] = true
+	laggingAddr := sim.follower()
+	sim.isolated[laggingAddr] = true
 	sim.proposeMany(commands)
 	for a, n := range sim.members {
-		if a != lags {
+		if a != laggingAddr {
 			n.compact(snapshotOfSize(size))
 		}
 	}
-	return lags
+	return laggingAddr
 }
 
-// snapshotOfSize is a replicated state of so many bytes.
+// snapshotOfSize returns an encoded state machine of a size in bytes.
 func snapshotOfSize(size int) []byte { return bytes.Repeat([]byte("state "), size/6+1)[:size] }
 
-// requireComplete checks that the voters are those at these addresses, and that all of them have applied what was acknowledged.
+// requireComplete checks that the voters are exactly the members at these addresses, and that all of them have applied every
+// acknowledged entry.
 func (sim *simulation) requireComplete(addrs ...string) {
 	sim.t.Helper()
 	sim.run(time.Second)
@@ -385,19 +386,19 @@
 	}
 }
 
-// requireMembersAtLeast has the test fail as soon as a leader's configuration has fewer members.
-func (sim *simulation) requireMembersAtLeast(than int) {
+// requireMembersAtLeast makes the test fail as soon as a leader's configuration has fewer members than minimum.
+func (sim *simulation) requireMembersAtLeast(minimum int) {
 	sim.afterStep = func() {
 		for _, a := range sim.addrs() {
-			if n := sim.members[a]; n.raft.IsLeader() && len(n.raft.log.configuration.Members) < than {
+			if n := sim.members[a]; n.raft.IsLeader() && len(n.raft.log.configuration.Members) < minimum {
 				sim.t.Fatalf("%s leads %+v at %v", a, n.raft.log.configuration, sim.now)
 			}
 		}
 	}
 }
 
-// holdsAcknowledged reports whether a member's disk has all that was acknowledged.
-func (sim *simulation) holdsAcknowledged(addr string) bool {
+// storesAcknowledged reports whether a member has all acknowledged entries on disk.
+func (sim *simulation) storesAcknowledged(addr string) bool {
 	n := sim.members[addr]
 	for index := range sim.acknowledged {
 		if n.snapshot.Index < index && (len(n.log) == 0 || n.log[len(n.log)-1].Index < index) {
