--- a/internal/mesh/raft/message.go
+++ b/internal/mesh/raft/message.go
@@ -82,7 +82,7 @@
 type Message struct {
 	Kind               MessageKind
 	From, To           ID
-	Term               uint64    // of the sender; a PreVote and a granted PreVoteResponse carry the term after the candidate's
+	Term               uint64    // of the sender; a PreVote and its granted response carry the term after the pre-candidate's
 	Index, LogTerm     uint64    // a position in the sender's log; see the message kinds
 	Commit             uint64    // the leader's commit index
 	Entries            []Entry   // of an AppendEntries, without a gap
--- a/internal/mesh/raft/progress.go
+++ b/internal/mesh/raft/progress.go
@@ -13,7 +13,7 @@
 	match uint64 // up to here the peer's log agrees with the leader's and is on the peer's disk
 	next  uint64 // the next entry to send
 
-	lastContactAt   time.Duration // when the last message of the peer arrived
+	lastContactAt   time.Duration // when the last message of the peer arrived, or when its record was added if none has
 	hasAnswered     bool          // the peer has sent a message to this leader, so protocolVersion is known
 	protocolVersion uint32        // spoken by the peer
 	answeredRound   uint64        // the latest heartbeat round that the peer has answered
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// contactedAfter reports whether the last message of a peer arrived after an instant.
+// contactedAfter reports whether a message of a peer arrived, or its record was added, after an instant.
 func (t progressTracker) contactedAfter(id ID, instant time.Duration) bool {
 	p := t.get(id)
 	return p != nil && p.lastContactAt > instant
--- a/internal/mesh/raft/raft.go
+++ b/internal/mesh/raft/raft.go
@@ -1,5 +1,5 @@
-// Package raft is the consensus algorithm of the control plane: one replicated log, a leader elected by a majority, and the
-// membership as entries of that log.
+// Package raft implements the consensus algorithm of the control plane: one replicated log, a leader elected by a majority, and a
+// membership that entries of the log change.
 //
 // It follows Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", extended version; "Raft paper" in
 // this package) with the extensions of Ongaro's dissertation "Consensus: Bridging Theory and Practice" ("dissertation"): pre-vote
@@ -16,7 +16,7 @@
 // Raft's safety depends on the caller writing and sending in the right order: Ready documents what has to be on disk before which messages
 // are sent.
 //
-// Files: step.go handles messages and the passing of time; election.go, replication.go, follower.go and read_index.go are the algorithm;
+// Files: step.go dispatches messages and ticks; election.go, replication.go, follower.go and read_index.go implement the algorithm;
 // membership.go, join.go and leave.go change the membership; snapshot_send.go and snapshot_receive.go transfer snapshots; log.go,
 // configuration.go and progress.go define the state; ready.go defines the output, stored_state.go the persistent state, and timeouts.go
 // the timeouts and delays.
@@ -33,7 +33,7 @@
 	"time"
 )
 
-// ID identifies a member for as long as it keeps its disk. No member has the ID 0, which stands for "none".
+// ID identifies a member as long as it keeps its disk. The ID 0 stands for no member.
 type ID uint64
 
 // Member is a voter or learner, and the address at which it listens for its peers.
@@ -208,10 +208,10 @@
 	return ""
 }
 
-// HasQuorumContact reports whether, within the last election timeout, this member led and heard from a quorum, or followed a leader and
-// had committed all that the leader had committed. Clients must not read from a member that is in contact with the leader but lags behind
-// it. The result only suggests which members can serve clients: another member may lead a later term meanwhile, so linearizable reads
-// need ReadIndex.
+// HasQuorumContact reports whether this member leads and has heard from a quorum within the last election timeout, or follows a leader and
+// had committed all that the leader had at some time within it. Clients must not read from a member that is in contact with the leader but
+// lags behind it. The result only suggests which members can serve clients: another member may lead a later term meanwhile, so
+// linearizable reads need ReadIndex.
 func (r *Raft) HasQuorumContact(now time.Duration) bool {
 	if r.role == leader {
 		return r.isQuorumActive(now, r.config.ElectionTimeout)
