--- a/internal/mesh/sidecar/attempt_limit_test.go
+++ b/internal/mesh/sidecar/attempt_limit_test.go
@@ -11,17 +11,17 @@
 	"cranegrade/internal/testkit"
 )
 
-// All servers reject: a call comes to as many of them as its route allows, and to no more.
+// If all servers reject a call, it is sent to as many servers as its route allows attempts, and to no more.
 func TestAttemptsAreBoundedByTheRoute(t *testing.T) {
 	const servers, calls = 4, 5
 	x := startCallChain(t, servers)
-	var mu sync.Mutex // guards arrivals
-	arrivals := map[string]int{}
+	var mu sync.Mutex // guards attemptsByID
+	attemptsByID := map[string]int{}
 	for n := range x.far {
 		x.attachServer(n, func(a *arrival) bool {
 			a.readBody()
 			mu.Lock()
-			arrivals[a.attemptID()]++
+			attemptsByID[a.attemptID()]++
 			mu.Unlock()
 			_, err := io.WriteString(a.conn, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
@@ -32,15 +32,15 @@
 		x.configure(name, fmt.Sprintf(`{"Upsert":{"ListenerList":[{"HostName":"%s","PolicyRules":[{"Name":"%s","RouteType":"idempotent",
 			"TargetLatencyS":0.1,"Priority":1,"ConfigVersion":2,"MatchCriteria":{"PathPrefix":"/%s/"},
 			"ForwardAction":{"Service":"stock","TimeoutS":0.2,"RetryCount":%d}}]}]}}`, chainHost, name, name, allowed))
-		most := 0
+		mostAttempts := 0
 		for range calls {
 			id := newAttemptID()
-			x.callAs(id, kindOfCall(name), "plain", "", testkit.Limit)
+			x.callWithID(id, kindOfCall(name), "plain", "", testkit.Limit)
 			mu.Lock()
-			assert.Assert(t, arrivals[id] <= allowed, "%d servers got a call that %d may get", arrivals[id], allowed)
-			most = max(most, arrivals[id])
+			assert.Assert(t, attemptsByID[id] <= allowed, "%d servers received a call whose route allows %d attempts", attemptsByID[id], allowed)
+			mostAttempts = max(mostAttempts, attemptsByID[id])
 			mu.Unlock()
 		}
-		assert.Equal(t, most, allowed)
+		assert.Equal(t, mostAttempts, allowed)
 	}
 }
--- a/internal/mesh/sidecar/call_chain_test.go
+++ b/internal/mesh/sidecar/call_chain_test.go
@@ -24,8 +24,8 @@
 	"cranegrade/internal/testkit"
 )
 
-// A call chain is the complete path of a call in one process: caller, sidecar, transport, sidecar, server, with relays on both hops and a fake
-// control plane. Tests cut it at any point.
+// A call chain is the complete path of a call in one process: caller, sidecar, transport, sidecar, server. Both hops pass through relays, which cut
+// connections where a test wants it, and the control plane is a fake.
 
 const chainHost = "shop.example"
 
@@ -38,7 +38,7 @@
 	return l.Addr().String()
 }
 
-// listenAndServe listens on a free address until the test ends, and serves each connection on a goroutine of its own.
+// listenAndServe listens on a free address until the test ends, and serves each connection on its own goroutine.
 func listenAndServe(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", freeAddr(t))
@@ -56,22 +56,22 @@
 	return listener.Addr().String()
 }
 
-// callChain is a caller's sidecar and sidecars beside servers, each behind a relay.
+// callChain is a caller's sidecar, and sidecars beside fake servers, each behind a relay.
 type callChain struct {
 	t              testing.TB
 	history        *callHistory
 	controlPlane   *fakeControlPlane
 	near           *Sidecar
-	terminateNear  func() // begins its shutdown
+	terminateNear  func() // begins the shutdown of near
 	far            []*Sidecar
 	fakeServers    []*fakeServer
-	upstreamRelays []*relay // on the way from near to each far sidecar
-	serverRelays   []*relay // on the way from each far sidecar to its server
+	upstreamRelays []*relay // between near and each far sidecar
+	serverRelays   []*relay // between each far sidecar and its server
 }
 
 var lastAttemptNumber atomic.Uint64
 
-// startCallChain starts a chain with some number of servers.
+// startCallChain starts a chain with a number of servers, and waits until calls succeed.
 func startCallChain(t testing.TB, servers int) *callChain {
 	t.Helper()
 	x := &callChain{t: t, history: newCallHistory()}
@@ -115,16 +115,17 @@
 	return x
 }
 
+// await waits until a condition holds, and fails the test after testkit.Limit.
 func await(t testing.TB, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(testkit.Limit); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("waited in vain")
+			t.Fatal("the awaited condition did not hold within the time limit")
 		}
 	}
 }
 
-// discardRing returns a log ring that nobody reads.
+// discardRing returns a log ring whose content is not used.
 var discardRing = sync.OnceValue(func() *logring.Ring {
 	_, ring := logring.New(io.Discard, "test")
 	return ring
@@ -161,15 +162,15 @@
 	return cancel
 }
 
-// callerConn is a connection of a caller, for any number of calls in turn.
+// callerConn is a connection of a caller, for any number of calls one after another.
 type callerConn struct {
 	x          *callChain
 	c          net.Conn
 	r          *bufio.Reader
-	mustRedial bool // the latest answer said that none follows here
+	mustRedial bool // the latest response closes the connection
 }
 
-// outbound returns the address that callers connect to.
+// outbound returns the address of the near sidecar's outbound listener.
 func (x *callChain) outbound() string { return x.near.env.settings.Load().ListenAddrs.Outbound }
 
 func (x *callChain) dial() *callerConn {
@@ -179,61 +180,62 @@
 	return &callerConn{x: x, c: c, r: bufio.NewReader(c)}
 }
 
-// newAttemptID returns a new ID of a call.
+// newAttemptID returns a new Attempt-Id.
 func newAttemptID() string { return fmt.Sprintf("a%07d", lastAttemptNumber.Add(1)) }
 
-// call makes one call on a connection of its own.
-func (x *callChain) call(kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
-	return x.callAs(newAttemptID(), kind, how, key, budget)
+// call makes one call on a new connection. behavior is the last segment of its path, which selects what the fake server does.
+func (x *callChain) call(kind kindOfCall, behavior, key string, budget time.Duration) callerAnswer {
+	return x.callWithID(newAttemptID(), kind, behavior, key, budget)
 }
 
-func (x *callChain) callAs(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
+// callWithID makes one call with an Attempt-Id on a new connection.
+func (x *callChain) callWithID(attempt string, kind kindOfCall, behavior, key string, budget time.Duration) callerAnswer {
 	c := x.dial()
 	defer c.c.Close()
-	return c.call(attempt, kind, how, key, budget)
+	return c.call(attempt, kind, behavior, key, budget)
 }
 
 const callBody = "twelve bytes"
 
-// uploadBytes is a body that is uploaded in chunks.
+// uploadBytes is the length of a body that is uploaded in chunks.
 const uploadBytes = 200_000
 
-// call makes one call and reads its response.
-func (c *callerConn) call(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
+// call makes one call, reads its response and records both in the history.
+func (c *callerConn) call(attempt string, kind kindOfCall, behavior, key string, budget time.Duration) callerAnswer {
 	c.x.history.asked(attempt, kind, key)
-	t := c.exchange(attempt, kind, how, key, budget)
+	t := c.exchange(attempt, kind, behavior, key, budget)
 	c.x.history.answered(attempt, t)
 	return t
 }
 
 // exchange writes one call and reads its response. It uses a new connection if the previous response has closed the current one.
-func (c *callerConn) exchange(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
+func (c *callerConn) exchange(attempt string, kind kindOfCall, behavior, key string, budget time.Duration) callerAnswer {
 	if c.mustRedial {
 		c.c.Close()
 		*c = *c.x.dial()
 	}
 	c.c.SetDeadline(time.Now().Add(budget + testkit.Limit))
-	if _, err := io.WriteString(c.c, requestText(attempt, kind, how, key, budget)); err != nil {
+	if _, err := io.WriteString(c.c, requestText(attempt, kind, behavior, key, budget)); err != nil {
 		return callerAnswer{}
 	}
 	return c.readAnswer()
 }
 
-// requestText returns a call as its caller writes it.
-func requestText(attempt string, kind kindOfCall, how, key string, budget time.Duration) string {
+// requestText returns the HTTP/1.1 text of a call.
+func requestText(attempt string, kind kindOfCall, behavior, key string, budget time.Duration) string {
 	body := callBody
-	if how == "upload" {
+	if behavior == "upload" {
 		body = strings.Repeat("x", uploadBytes)
 	}
 	head := fmt.Sprintf("POST /%s/%s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Budget: %d\r\nContent-Length: %d\r\n",
-		kind, how, chainHost, attempt, budget.Milliseconds(), len(body))
+		kind, behavior, chainHost, attempt, budget.Milliseconds(), len(body))
 	if key != "" {
 		head += "Operation-Key: " + key + "\r\n"
 	}
 	return head + "\r\n" + body
 }
 
-// readAnswer reads one response. It returns the zero value if there is no complete one.
+// readAnswer reads one response. It returns the zero value if the connection ends before a response is complete.
 func (c *callerConn) readAnswer() callerAnswer {
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -250,7 +252,7 @@
 	}
 }
 
-// assertNoViolations fails the test for each violation.
+// assertNoViolations reports each violation that the history contains as an error of the test.
 func (x *callChain) assertNoViolations() {
 	x.t.Helper()
 	for _, v := range x.history.violations() {
--- a/internal/mesh/sidecar/client_gone_test.go
+++ b/internal/mesh/sidecar/client_gone_test.go
@@ -12,13 +12,13 @@
 	"cranegrade/internal/testkit"
 )
 
-// A caller closes its connection while the server of its idempotent call is at work, or still receives its long body: the call is cancelled on
-// both hops, by the end of the server's connection, well before any time-out.
+// A caller closes its connection while the server runs its idempotent call or still receives the call's long body. The call is cancelled on both
+// hops well before any timeout; the server sees the end of its connection.
 func TestClientGoneCancelsRunningCall(t *testing.T) {
 	for _, c := range []struct {
-		name, how    string
-		unsent       int // bytes that the caller has not sent when it leaves
-		readsRequest bool
+		name, behavior string
+		unsent         int // bytes that the caller has not sent when it closes the connection
+		readsRequest   bool
 	}{
 		{"short body", "plain", 0, true},
 		{"long body", "upload", 0, true},
@@ -39,18 +39,18 @@
 			})
 			x.occupyUpstream()
 			caller := x.dial()
-			text := requestText(newAttemptID(), repeatableCall, c.how, "", testkit.Limit)
+			text := requestText(newAttemptID(), repeatableCall, c.behavior, "", testkit.Limit)
 			_, err := io.WriteString(caller.c, text[:len(text)-c.unsent])
 			assert.NilError(t, err)
-			receivePromptly(t, "the call never ran", running)
+			receivePromptly(t, "the call did not reach the server", running)
 			caller.c.Close()
-			receivePromptly(t, "the server is still at work for a caller that has gone", ended)
+			receivePromptly(t, "the server still runs a call whose caller has disconnected", ended)
 			x.awaitOpenCalls(1)
 		})
 	}
 }
 
-// A caller closes a connection on which several calls run that came in one segment: all of them are cancelled.
+// A caller closes a connection on which several calls run that arrived in one TCP segment: all of them are cancelled.
 func TestClientGoneCancelsPipelinedCalls(t *testing.T) {
 	const calls = 3
 	x := startCallChain(t, 1)
@@ -70,16 +70,16 @@
 	_, err := io.WriteString(caller.c, text.String())
 	assert.NilError(t, err)
 	for range calls {
-		receivePromptly(t, "a call never ran", running)
+		receivePromptly(t, "a call did not reach the server", running)
 	}
 	caller.c.Close()
 	for range calls {
-		receivePromptly(t, "the server is still at work for a caller that has gone", ended)
+		receivePromptly(t, "the server still runs a call whose caller has disconnected", ended)
 	}
 	x.awaitOpenCalls(1)
 }
 
-// A caller leaves while it is sent a streamed response: the server's connection ends.
+// A caller disconnects while it receives a streamed response: the connection to the server is closed.
 func TestClientGoneCancelsStream(t *testing.T) {
 	x := startCallChain(t, 1)
 	ended := make(chan bool, maxScriptedArrivals)
@@ -97,11 +97,11 @@
 	c.write(newAttemptID(), repeatableCall, testkit.Limit)
 	assert.Assert(t, strings.HasPrefix(c.readHead(), "HTTP/1.1 200 "))
 	c.c.Close()
-	receivePromptly(t, "the server still streams to a caller that has gone", ended)
+	receivePromptly(t, "the server still streams to a caller that has disconnected", ended)
 	x.awaitOpenCalls(1)
 }
 
-// A caller leaves while its call waits for the next attempt, after a server has rejected the one before: none follows.
+// A caller disconnects while its call waits for a retry after a rejected attempt: no further attempt is made.
 func TestClientGoneEndsRetries(t *testing.T) {
 	x := startCallChain(t, 1)
 	arrivals := make(chan *arrival, maxScriptedArrivals)
@@ -113,26 +113,26 @@
 	})
 	caller := x.dial()
 	caller.write(newAttemptID(), repeatableCall, testkit.Limit)
-	receivePromptly(t, "the call never came to the server", arrivals)
+	receivePromptly(t, "the call did not reach the server", arrivals)
 	caller.c.Close()
 	x.awaitOpenCalls(0)
 	for len(arrivals) > 0 {
-		<-arrivals // began before the sidecar knew that the caller has gone
+		<-arrivals // attempts that began before the sidecar noticed that the caller had disconnected
 	}
 	select {
 	case <-arrivals:
-		t.Error("a call comes to the server after its caller has gone")
-	case <-time.After(maxModuleRetryAfter): // longer than the module's pauses
+		t.Error("a call reached the server after its caller had disconnected")
+	case <-time.After(maxModuleRetryAfter): // longer than the decision module's pauses between attempts
 	}
 }
 
-// A caller leaves while its call waits for a server: when there is one, it does not get that call.
-func TestClientGoneLeavesQueue(t *testing.T) {
+// A caller disconnects while its call waits for a server: a server that becomes ready later does not receive that call.
+func TestClientGoneWhileWaitingForServer(t *testing.T) {
 	x := startCallChain(t, 1)
 	x.far[0].localServer.deregister(x.fakeServers[0].id)
 	engine := x.near.pools.get("stock").pool.Engine()
 	abandoned := map[string]bool{}
-	await(t, func() bool { // until the caller's sidecar knows that there is no server
+	await(t, func() bool { // until the caller's sidecar has removed the server from its list
 		caller, id := x.dial(), newAttemptID()
 		defer caller.c.Close()
 		abandoned[id] = true
@@ -152,28 +152,30 @@
 	await(t, func() bool { return x.call(repeatableCall, "plain", "", time.Second).Status == 200 })
 	for len(arrived) > 0 {
 		if id := <-arrived; abandoned[id] {
-			t.Errorf("%s came to the server after its caller had gone", id)
+			t.Errorf("%s reached the server after its caller had disconnected", id)
 		}
 	}
 }
 
-// hasAnswer reports whether a part of an answer has come.
+// hasAnswer reports whether any byte of a response has been received.
 func (c *callerConn) hasAnswer() bool {
 	_ = c.c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := c.r.Peek(1)
 	return err == nil
 }
 
-// awaitOpenCalls waits until both sides have that many calls in flight.
+// awaitOpenCalls waits until n calls are in flight at the near sidecar and at the first far sidecar.
 func (x *callChain) awaitOpenCalls(n int64) {
 	x.t.Helper()
-	awaitPromptly(x.t, "the caller's sidecar still has the call", func() bool {
+	awaitPromptly(x.t, "the number of open calls at the caller's sidecar did not become the expected one", func() bool {
 		return x.near.pools.get("stock").pool.Engine().OpenCalls() == n
 	})
-	awaitPromptly(x.t, "the server's sidecar still has the request", func() bool { return x.far[0].inbound.openRequests.Load() == n })
+	awaitPromptly(x.t, "the number of open requests at the server's sidecar did not become the expected one", func() bool {
+		return x.far[0].inbound.openRequests.Load() == n
+	})
 }
 
-// A caller leaves on whose connection another call came while the first ran: both are cancelled.
+// A caller pipelines a second call while the first runs, and then disconnects: both calls are cancelled.
 func TestClientGoneCancelsCallsPipelinedLater(t *testing.T) {
 	x := startCallChain(t, 1)
 	running, ended := make(chan *arrival, maxScriptedArrivals), make(chan bool, maxScriptedArrivals)
@@ -188,19 +190,19 @@
 	for range 2 {
 		_, err := fmt.Fprintf(caller.c, "GET /often/plain HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\n\r\n", chainHost, newAttemptID())
 		assert.NilError(t, err)
-		receivePromptly(t, "a call never ran", running)
+		receivePromptly(t, "a call did not reach the server", running)
 	}
 	caller.c.Close()
 	for range 2 {
-		receivePromptly(t, "the server is still at work for a caller that has gone", ended)
+		receivePromptly(t, "the server still runs a call whose caller has disconnected", ended)
 	}
 }
 
-// untilWindowsAreFull is longer than it takes until a server that streams can write no more, because its caller does not read.
-const untilWindowsAreFull = time.Second
+// flowControlStallTime is longer than it takes to fill all flow-control windows and buffers between a sender and a peer that does not read.
+const flowControlStallTime = time.Second
 
-// A caller that reads no more leaves while a streamed response waits for it: server and sidecar let go of the request.
-func TestClientGoneWhileStreamWaits(t *testing.T) {
+// A caller stops reading, so that a streamed response blocks on flow control, and then disconnects: server and sidecar end the request.
+func TestClientGoneWhileStreamIsBlocked(t *testing.T) {
 	for _, kind := range []kindOfCall{repeatableCall, onceCall} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
@@ -218,9 +220,9 @@
 			caller := x.dial()
 			caller.write(newAttemptID(), kind, testkit.Limit)
 			caller.readHead()
-			time.Sleep(untilWindowsAreFull)
+			time.Sleep(flowControlStallTime)
 			caller.c.Close()
-			receivePromptly(t, "the server still streams to a caller that has gone", ended)
+			receivePromptly(t, "the server still streams to a caller that has disconnected", ended)
 			x.awaitOpenCalls(1)
 		})
 	}
--- a/internal/mesh/sidecar/client_gone_waiting_test.go
+++ b/internal/mesh/sidecar/client_gone_waiting_test.go
@@ -15,17 +15,18 @@
 	"cranegrade/internal/testkit"
 )
 
-// These tests belong to two faults that callers did not see and servers did: a server went on working for a caller that had gone.
+// These tests guard against two faults in which a server went on running a call after its caller had disconnected.
 //
-// While net/http serves a request it reads one byte, to notice the end of the connection. Once it has got that byte, of a pipelined request, it reads
-// no more. The front read on only once in its place, and kept the end that it met for net/http: of two calls that came in two pieces, the server
-// still ran both 5 s after their caller had closed the connection. The same was so behind more bytes than are buffered, and for a body that waits
-// until the server reads it, since nobody reads the connection then.
+// Pipelined requests: while net/http serves a request it reads one byte ahead to detect the end of the connection. Once it has received a byte of a
+// pipelined request it stops reading, so the front has to read on in its place. It did so only once, and did not act on the end of the connection
+// that it saw: of two calls in two segments, the server still ran both 5 s after their caller had closed the connection. The same happened if more
+// bytes were pipelined than are buffered, and while a body waits to be read by the server, since then nothing reads the connection.
 //
-// A streamed response waited for its windows without regard to the request's cancellation: the sidecar beside the server still had the request 5 s
-// after its caller had closed the connection (inbound.openRequests was 2, not 1).
+// Streamed responses: the wait for a flow-control window ignored the cancellation of the request. The sidecar beside the server still counted the
+// request 5 s after its caller had closed the connection (inbound.openRequests was 2 instead of 1).
 
-// startHangingCalls returns a chain whose server never answers, and channels that tell of each call that it begins, and that it sees cancelled.
+// startHangingCalls returns a chain whose server never responds. Each call that the server receives is sent on running, and ended receives a value
+// when the server sees the end of its connection.
 func startHangingCalls(t *testing.T) (x *callChain, running chan *arrival, ended chan bool) {
 	x = startCallChain(t, 1)
 	running, ended = make(chan *arrival, maxScriptedArrivals), make(chan bool, maxScriptedArrivals)
@@ -39,74 +40,75 @@
 	return x, running, ended
 }
 
-// getText returns a call that may be pipelined, as its caller writes it.
+// getText returns the HTTP/1.1 text of an idempotent call without a body, which may be pipelined.
 func getText() string {
 	return fmt.Sprintf("GET /%s/plain HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\n\r\n", repeatableCall, chainHost, newAttemptID())
 }
 
-// Calls that come one after the other behind a running one are started as they come, and all are cancelled when the caller leaves.
-func TestClientGoneCancelsCallsInManyPieces(t *testing.T) {
-	const calls = 3 // of five a later one did not run within 5 s; why is not traced yet
+// Calls that are pipelined one by one behind a running call start as they arrive, and all are cancelled when the caller disconnects.
+func TestClientGoneCancelsCallsPipelinedOneByOne(t *testing.T) {
+	const calls = 3 // with five, one of the later calls did not start within 5 s; the cause is unknown
 	x, running, ended := startHangingCalls(t)
 	caller := x.dial()
 	for range calls {
 		_, err := io.WriteString(caller.c, getText())
 		assert.NilError(t, err)
-		receivePromptly(t, "a call that came behind others waits for their answers", running)
+		receivePromptly(t, "a pipelined call did not start before the responses to earlier calls", running)
 	}
 	caller.c.Close()
 	for range calls {
-		receivePromptly(t, "the server is still at work for a caller that has gone", ended)
+		receivePromptly(t, "the server still runs a call whose caller has disconnected", ended)
 	}
 	x.awaitOpenCalls(1)
 }
 
-// A caller that has sent more than is buffered behind a running call leaves: what runs is cancelled.
-func TestClientGoneBehindFullBuffer(t *testing.T) {
+// A caller pipelines more bytes behind a running call than are buffered, and then disconnects: the running calls are cancelled.
+func TestClientGoneWithFullPipelineBuffer(t *testing.T) {
 	x, running, ended := startHangingCalls(t)
 	caller := x.dial()
 	_, err := io.WriteString(caller.c, getText())
 	assert.NilError(t, err)
-	receivePromptly(t, "the call never ran", running)
+	receivePromptly(t, "the call did not reach the server", running)
 	_, err = io.WriteString(caller.c, strings.Repeat(getText(), 1000))
 	assert.NilError(t, err)
-	time.Sleep(untilWindowsAreFull)
+	time.Sleep(flowControlStallTime)
 	caller.c.Close()
-	receivePromptly(t, "the server is still at work for a caller that has gone", ended)
+	receivePromptly(t, "the server still runs a call whose caller has disconnected", ended)
 	x.awaitOpenCalls(1)
 }
 
-// A caller resets its connection while the rest of its long body waits, because the server does not read it: the call is cancelled. (A close comes only behind
-// what the caller has sent, and here that does not get through.)
-func TestClientGoneWhileBodyWaits(t *testing.T) {
+// A caller resets its connection while the rest of its long body is blocked, because the server does not read it: the call is cancelled. A reset is
+// used because an orderly close would only arrive behind the blocked bytes.
+func TestClientGoneWhileUploadIsBlocked(t *testing.T) {
 	x := startCallChain(t, 1)
 	running, ended := make(chan *arrival, maxScriptedArrivals), make(chan bool, maxScriptedArrivals)
-	left := make(chan bool)
+	callerGone := make(chan bool)
 	x.attachServer(0, func(a *arrival) bool {
 		running <- a
-		<-left
+		<-callerGone
 		a.awaitEnd()
 		ended <- true
 		return false
 	})
 	x.occupyUpstream()
 	caller := x.dial()
-	const more = 64 << 20 // than all buffers on the way hold
+	const bodyBytes = 64 << 20 // more than all buffers on the path can store
 	_, err := fmt.Fprintf(caller.c, "POST /%s/plain HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nContent-Length: %d\r\n\r\n",
-		repeatableCall, chainHost, newAttemptID(), more)
+		repeatableCall, chainHost, newAttemptID(), bodyBytes)
 	assert.NilError(t, err)
-	assert.NilError(t, caller.c.SetWriteDeadline(time.Now().Add(untilWindowsAreFull)))
-	_, err = io.Copy(caller.c, strings.NewReader(strings.Repeat("x", more)))
-	assert.Assert(t, err != nil, "the server's sidecar takes all of a body that nobody reads")
-	receivePromptly(t, "the call never ran", running)
+	assert.NilError(t, caller.c.SetWriteDeadline(time.Now().Add(flowControlStallTime)))
+	_, err = io.Copy(caller.c, strings.NewReader(strings.Repeat("x", bodyBytes)))
+	assert.Assert(t, err != nil, "the sidecars accepted the whole body although the server does not read it")
+	receivePromptly(t, "the call did not reach the server", running)
 	assert.NilError(t, caller.c.(*net.TCPConn).SetLinger(0))
 	caller.c.Close()
 	x.awaitOpenCalls(1)
-	close(left)
-	receivePromptly(t, "the server still waits for a body whose caller has gone", ended)
+	close(callerGone)
+	receivePromptly(t, "the server still waits for the body of a caller that has disconnected", ended)
 }
 
-// The connection between the sidecars ends while a streamed response is silent, also one of a call that may run once: the server is released.
+// The connection between the sidecars ends during a pause of a streamed response: the connection to the server is closed, also for a call that may
+// run only once.
 func TestUpstreamGoneCancelsStream(t *testing.T) {
 	for _, kind := range []kindOfCall{repeatableCall, onceCall} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -125,8 +127,8 @@
 			caller.write(newAttemptID(), kind, testkit.Limit)
 			caller.readHead()
 			x.near.upstreams.get(x.upstreamRelays[0].addr).close()
-			receivePromptly(t, "the server still streams to a sidecar that has gone", ended)
-			awaitPromptly(t, "the server's sidecar still has the request", func() bool { return x.far[0].inbound.openRequests.Load() == 0 })
+			receivePromptly(t, "the server still streams although the connection between the sidecars has ended", ended)
+			awaitPromptly(t, "the request is still open at the server's sidecar", func() bool { return x.far[0].inbound.openRequests.Load() == 0 })
 			assert.NilError(t, caller.c.SetReadDeadline(time.Now().Add(testkit.Limit)))
 			_, err := io.Copy(io.Discard, caller.c)
 			assert.Assert(t, !errors.Is(err, os.ErrDeadlineExceeded), "the caller still waits for the rest of the response")
--- a/internal/mesh/sidecar/configuration.go
+++ b/internal/mesh/sidecar/configuration.go
@@ -29,22 +29,22 @@
 	return c
 }
 
-// mergeItems merges items that a member sent.
+// mergeItems merges items that a control-plane member sent, and applies the changes.
 func (c *configuration) mergeItems(items []config.Item) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next, raised := c.items.Merge(items)
-	if len(raised) == 0 {
+	next, updated := c.items.Merge(items)
+	if len(updated) == 0 {
 		return
 	}
 	c.items = next
-	c.noteReceivedPolicies(raised)
+	c.recordReceivedPolicies(updated)
 	c.rebuildRouting()
 }
 
-// callerChanged rebuilds the routing table after the service in the settings has changed, since policies depend on
-// the calling service.
-func (c *configuration) callerChanged() {
+// callingServiceChanged rebuilds the routing table after the service name in the settings has changed, since policies
+// depend on the calling service.
+func (c *configuration) callingServiceChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rebuildRouting()
@@ -57,7 +57,7 @@
 	c.pools.applyRouting(table)
 	c.routing.Store(table)
 	c.outbound.applyLimits(&table.Limits)
-	c.pools.refreshServices() // so that new services get the sidecars and slots that are already known
+	c.pools.refreshServices() // so that new services use the sidecars and slots of the current directory
 }
 
 // currentItems returns the table of items.
--- a/internal/mesh/sidecar/connection_cut_test.go
+++ b/internal/mesh/sidecar/connection_cut_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/testkit"
 )
 
-// hop is the hop on which a call is cut.
+// hop is the part of a call chain on which a connection is cut.
 type hop string
 
 const (
@@ -17,6 +17,7 @@
 	toServer        hop = "to the server"
 )
 
+// relaysAt returns the relays of a hop.
 func (x *callChain) relaysAt(h hop) []*relay {
 	if h == betweenSidecars {
 		return x.upstreamRelays
@@ -24,14 +25,14 @@
 	return x.serverRelays
 }
 
-// patience of the caller for calls whose connection says nothing any more.
+// silentBudget is the time budget of calls whose connection is cut without a reset or close.
 const silentBudget = 60 * time.Millisecond
 
-// maxTriesPerPoint is how often one point is tried at most.
+// maxTriesPerPoint is the maximum number of calls that are made to cut one call at a given byte.
 const maxTriesPerPoint = 50
 
-// cutCall makes one call that is cut and then another, with a repeat of a keyed call in between. struck says that the cut took effect.
-func (x *callChain) cutCall(h hop, kind kindOfCall, c *cut) (first callerAnswer, struck bool) {
+// cutCall makes a call that is cut, then repeats it if it is keyed, and then makes another call. applied reports whether the cut took effect.
+func (x *callChain) cutCall(h hop, kind kindOfCall, c *cut) (first callerAnswer, applied bool) {
 	x.t.Helper()
 	attempt, key := newAttemptID(), ""
 	if kind == keyedCall {
@@ -42,21 +43,21 @@
 		budget = silentBudget
 	}
 	for _, r := range x.relaysAt(h) {
-		r.plan(attempt, c)
+		r.scheduleCut(attempt, c)
 	}
 	conn := x.dial()
 	defer conn.c.Close()
 	first = conn.call(attempt, kind, "plain", key, budget)
-	close(c.mended)
+	close(c.repaired)
 	select {
-	case <-c.struck:
-		struck = true
+	case <-c.applied:
+		applied = true
 		if c.mode == cutLate {
 			<-c.released
 		}
 	default:
 	}
-	// On the same connection, where the caller's sidecar has left it open: whatever comes there is the next call's own answer.
+	// On the same connection, if the caller's sidecar has kept it open: the next response there must be that of the next call.
 	next := conn
 	if first.Status == 0 {
 		x.t.Errorf("%s %s %s after %d: the caller's connection ended", h, kind, c.mode, c.after)
@@ -68,46 +69,48 @@
 		switch again.Status {
 		case 200, 409, 502, 503, 504:
 		default:
-			x.t.Errorf("%s %s %s after %d: the repeat is answered %+v", h, kind, c.mode, c.after, again)
+			x.t.Errorf("%s %s %s after %d: unexpected response to the repeat: %+v", h, kind, c.mode, c.after, again)
 		}
 	}
-	// The module holds calls off a server that timed out: they are told when to come again.
+	// The decision module sends no calls to a server that has just timed out, and rejects them with a Retry-After instead.
 	await(x.t, func() bool {
 		after := next.call(newAttemptID(), repeatableCall, "plain", "", 5*time.Second)
 		if after.Status != 200 && after.Status != 503 {
-			x.t.Errorf("%s %s %s after %d, then: %+v", h, kind, c.mode, c.after, after)
+			x.t.Errorf("%s %s %s after %d: unexpected response to the next call: %+v", h, kind, c.mode, c.after, after)
 			return true
 		}
 		return after.Status == 200
 	})
-	return first, struck
+	return first, applied
 }
 
-// sweep cuts calls after each byte of the request or of the response, from a first byte on with a step.
-func (x *callChain) sweep(h hop, kind kindOfCall, mode cutMode, answer bool, from, step int) (points int) {
+// cutAtOffsets cuts calls after from bytes of the request or the response, then after every step bytes more, up to its end. It returns the number of
+// offsets.
+func (x *callChain) cutAtOffsets(h hop, kind kindOfCall, mode cutMode, answer bool, from, step int) (points int) {
 	for after := from; ; after += step {
 		c := newCut(mode, answer, after)
-		for tries := 1; ; tries++ { // it may be rejected, or its time be over, before it comes to the cut
-			first, struck := x.cutCall(h, kind, c)
-			if struck {
+		for tries := 1; ; tries++ { // a call may be rejected or time out before it reaches the cut
+			first, applied := x.cutCall(h, kind, c)
+			if applied {
 				break
 			}
 			if first.Status == 200 || tries == maxTriesPerPoint {
-				x.t.Errorf("%s %s %s after %d: not struck, %+v", h, kind, mode, after, first)
+				x.t.Errorf("%s %s %s after %d: the cut did not take effect, the response is %+v", h, kind, mode, after, first)
 				return points
 			}
 			c = newCut(mode, answer, after)
 		}
 		points++
-		if after >= c.of {
+		if after >= c.totalBytes {
 			return points
 		}
 	}
 }
 
-// A keyed and a non-idempotent call are cut after each byte of the request and of the response, on each hop, in each mode. Each runs at most once.
-// Its caller gets one response, its own, and 503 only if it has not run. The next call gets its own response.
-func TestCutAtEachByte(t *testing.T) {
+// The connection of a keyed or non-idempotent call is cut after each byte of the request and of the response, on each hop, in each mode. Each call
+// runs at most once. Its caller gets exactly one response, which is its own, and a 503 only if the call has not run. The next call gets its own
+// response.
+func TestConnectionCutAtEachByte(t *testing.T) {
 	for _, h := range []hop{betweenSidecars, toServer} {
 		for _, kind := range []kindOfCall{onceCall, keyedCall} {
 			for _, mode := range []cutMode{cutReset, cutClose, cutSilent, cutLate} {
@@ -124,10 +127,10 @@
 						chains := [ways]*callChain{startCallChain(t, 1)}
 						for n := range ways {
 							chains[n] = chains[0]
-							if h == betweenSidecars && n > 0 { // a cut ends all that is under way there
+							if h == betweenSidecars && n > 0 { // a cut there ends all open calls of the connection
 								chains[n] = startCallChain(t, 1)
 							}
-							all.Go(func() { points[n] = chains[n].sweep(h, kind, mode, answer, n, step) })
+							all.Go(func() { points[n] = chains[n].cutAtOffsets(h, kind, mode, answer, n, step) })
 						}
 						all.Wait()
 						for _, x := range chains {
@@ -141,9 +144,9 @@
 	}
 }
 
-// The connection of a streamed request is cut before each of its frames, including the one that only ends the body. At that point the server has
-// the complete request, so a key that was released would run again.
-func TestCutBetweenPieces(t *testing.T) {
+// The connection of a streamed request is cut before each of its frames, including the final one, which carries no data. Before the final frame the
+// server already has the whole body, so if the key were released there, the request could run again.
+func TestConnectionCutBetweenFrames(t *testing.T) {
 	for _, kind := range []kindOfCall{onceCall, keyedCall} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
@@ -154,23 +157,23 @@
 					key = "k-" + attempt
 				}
 				c := newCut(cutReset, false, 0)
-				c.frames = frames
-				x.upstreamRelays[0].plan(attempt, c)
-				first := x.callAs(attempt, kind, "upload", key, 2*time.Second)
-				close(c.mended)
+				c.skipFrames = frames
+				x.upstreamRelays[0].scheduleCut(attempt, c)
+				first := x.callWithID(attempt, kind, "upload", key, 2*time.Second)
+				close(c.repaired)
 				await(t, func() bool { return x.far[0].inbound.openRequests.Load() == 0 })
 				if kind == keyedCall {
 					await(t, func() bool { return x.call(keyedCall, "upload", key, 2*time.Second).Status != 503 })
 				}
 				select {
-				case <-c.struck:
+				case <-c.applied:
 				default:
-					if first.Status != 200 { // rejected before
+					if first.Status != 200 { // rejected before it reached the cut
 						frames--
 						continue
 					}
 					if frames < 3 {
-						t.Errorf("only %d frames", frames)
+						t.Errorf("the request was cut at only %d frames", frames)
 					}
 					x.assertNoViolations()
 					return
--- a/internal/mesh/sidecar/controlplane_call.go
+++ b/internal/mesh/sidecar/controlplane_call.go
@@ -10,10 +10,10 @@
 	"cranegrade/internal/mesh/transport"
 )
 
-// statusError is the error of a call whose reply has another status than 200.
+// statusError is the error of a call whose reply has a status other than 200.
 type statusError struct {
-	addr   string // of the member
-	status uint16 // as in HTTP
+	addr   string // of the control-plane member
+	status uint16 // an HTTP status code
 }
 
 // Error implements error.
@@ -22,7 +22,7 @@
 }
 
 // callMember makes a call to a control-plane member, and returns the body of its reply. The error is a statusError if
-// the member replied, and otherwise that of the connection or of ctx.
+// the member rejected the call, and otherwise that of the connection or of ctx.
 func (e *environment) callMember(ctx context.Context, conn *transport.Conn, kind byte, body []byte) ([]byte, error) {
 	reply, err := e.calls.Call(ctx, conn, kind, body)
 	if err != nil {
--- a/internal/mesh/sidecar/controlplane_call_test.go
+++ b/internal/mesh/sidecar/controlplane_call_test.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// The error of a call that a member rejects names the member and the status. A call without a reply ends with its context.
+// A rejected call to a member returns a statusError with the member and the status. A call without a reply ends with its context.
 func TestMemberCallErrors(t *testing.T) {
 	s, conn, far := newFollowingSidecar(t)
 	go func() {
--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -14,17 +14,17 @@
 const (
 	// callTimeout bounds a call to the followed member, other than a lease request (see claimTimeout).
 	callTimeout = time.Second
-	// seedsPollInterval is how often the settings are checked for changed seeds.
+	// seedsPollInterval is the interval at which the settings are checked for changed seed addresses.
 	seedsPollInterval = time.Second
-	// closeFlushTries and closeFlushInterval bound how long close waits until queued messages are written: 200 ms.
+	// closeFlushTries and closeFlushInterval bound the time that close waits for queued messages to be written to 200 ms.
 	closeFlushTries    = 20
 	closeFlushInterval = 10 * time.Millisecond
-	// selectorEventBacklog is how many events may be queued for run's goroutine before post blocks.
+	// selectorEventBacklog is the number of events that can be queued for run's goroutine before post blocks.
 	selectorEventBacklog = 64
 )
 
 // controlPlaneConn is the connection to the control-plane member that this sidecar follows. Package memberselection
-// decides which member that is; this type is its shell. The goroutine of run owns the selector and the connections,
+// decides which member that is; this type does the I/O. The goroutine of run owns the selector and the connections,
 // and other goroutines post events to it. Messages of members are passed to configuration, directory and maintenance.
 type controlPlaneConn struct {
 	env           *environment
@@ -32,27 +32,28 @@
 	directory     *directoryView
 	maintenance   *maintenanceView
 	localServer   *localServer
-	onConfirmed   func()          // called each time that the configuration was confirmed and is not empty
-	seeds         func() []string // of the settings
+	onConfirmed   func()          // called each time that a linearizable read has confirmed a configuration that is not empty
+	seeds         func() []string // returns the seed addresses of the settings
 
 	conn   atomic.Pointer[transport.Conn] // to the followed member; it may have ended
 	events chan func(now time.Duration)
-	// reachable and graceEnds are the selector's latest answer; graceEnds is a time of the environment's clock.
-	reachable atomic.Bool
-	graceEnds atomic.Int64
+	// reachable and graceEndsAt are the latest result of selector.Reachable; graceEndsAt is a time of the environment's
+	// clock.
+	reachable   atomic.Bool
+	graceEndsAt atomic.Int64
 
 	// Owned by run's goroutine.
 	selector   *memberselection.Selector
 	members    map[memberselection.ConnID]*memberConn
-	confirming sync.WaitGroup // of the goroutines that have the configuration confirmed
+	confirming sync.WaitGroup // counts the goroutines of confirm
 }
 
-// memberConn is a connection to a member, or the dial of one.
+// memberConn is a connection to a member, or a dial in progress.
 type memberConn struct {
 	id          memberselection.ConnID
-	cancel      context.CancelFunc // of the dial
-	conn        *transport.Conn    // nil until a message has been received
-	lastFrameAt atomic.Int64       // by the environment's clock
+	cancel      context.CancelFunc // cancels the dial
+	conn        *transport.Conn    // nil until the first message has been received
+	lastFrameAt atomic.Int64       // a time of the environment's clock
 }
 
 func newControlPlaneConn(env *environment) *controlPlaneConn {
@@ -72,13 +73,13 @@
 	return nil
 }
 
-// isReachable reports whether the control plane can be called: the followed member has quorum contact, or was lost a
-// moment ago and another one is being looked for.
+// isReachable reports whether calls to the control plane are worth making: the followed member has contact to a quorum,
+// or it was lost so recently that the grace period for finding another has not ended.
 func (c *controlPlaneConn) isReachable() bool {
-	return c.reachable.Load() || int64(c.env.clock.Now()) < c.graceEnds.Load()
+	return c.reachable.Load() || int64(c.env.clock.Now()) < c.graceEndsAt.Load()
 }
 
-// close closes the connection once queued messages are written, or after a while.
+// close closes the connection once queued messages are written, or after 200 ms (see closeFlushTries).
 func (c *controlPlaneConn) close() {
 	if conn := c.conn.Load(); conn != nil {
 		for n := 0; n < closeFlushTries && !conn.Flushed(); n++ {
@@ -96,7 +97,7 @@
 	}
 }
 
-// run follows a member until the sidecar's end, and waits for the confirmations that are in flight.
+// run follows a member until the sidecar ends, then waits for the reads of confirm that are in flight.
 func (c *controlPlaneConn) run() {
 	defer c.confirming.Wait()
 	clock := c.env.clock
@@ -121,15 +122,15 @@
 		for _, action := range c.selector.TakeActions() {
 			c.apply(action)
 		}
-		reachable, until := c.selector.Reachable()
-		c.graceEnds.Store(int64(until))
+		reachable, graceEndsAt := c.selector.Reachable()
+		c.graceEndsAt.Store(int64(graceEndsAt))
 		c.reachable.Store(reachable)
 		timer.Reset(min(seedsPollInterval, c.selector.NextTick()-clock.Now()))
 	}
 }
 
-// reportLastFrame reports to the selector when the last frame of the followed member came. This is done at each tick
-// because an event for each frame would be too expensive.
+// reportLastFrame reports to the selector when the last frame of the followed member was received. It is called at each
+// timer event, because an event for each frame would be too expensive.
 func (c *controlPlaneConn) reportLastFrame(now time.Duration) {
 	if member := c.members[c.selector.Followed()]; member != nil {
 		c.selector.MessageReceived(now, member.id, time.Duration(member.lastFrameAt.Load()))
@@ -160,22 +161,22 @@
 	}
 }
 
-// follow makes a connection that of the followed member, and sends this sidecar's record over it.
+// follow makes conn the connection to the followed member, and sends this sidecar's record over it.
 func (c *controlPlaneConn) follow(conn *transport.Conn) {
 	c.conn.Store(conn)
-	conn.AddPending(1) // keeps the peer time-out of the connection short
+	conn.AddPending(1) // a connection with pending work has a shorter peer timeout than an idle one
 	_ = conn.Send(directory.ToWire([]directory.Record{c.localServer.record()}))
 	c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Msg("control-plane member followed")
 }
 
-// logIfFollowed logs why a connection ended if it was that of the followed member. conn is nil if a dial failed.
+// logIfFollowed logs why conn ended if it was the connection to the followed member. conn is nil if a dial failed.
 func (c *controlPlaneConn) logIfFollowed(conn *transport.Conn, reason error) {
 	if conn != nil && conn == c.conn.Load() {
 		c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Str("reason", reason.Error()).Msg("control-plane member left")
 	}
 }
 
-// connect dials a member and receives from it until the connection ends. It runs on a goroutine of its own.
+// connect dials a member and receives from it until the connection ends. It runs on its own goroutine.
 func (c *controlPlaneConn) connect(ctx context.Context, member *memberConn, addr string) {
 	defer member.cancel()
 	conn, err := transport.Dial(ctx, addr, c.env.hello(), nil)
@@ -192,7 +193,7 @@
 	})
 }
 
-// receive handles messages until the connection ends. ctx bounds the time until the first.
+// receive handles messages until the connection ends. ctx bounds the time until the first message.
 func (c *controlPlaneConn) receive(ctx context.Context, member *memberConn, conn *transport.Conn) error {
 	stop := context.AfterFunc(ctx, func() { conn.Close(ctx.Err()) })
 	first, err := conn.Receive()
@@ -204,7 +205,7 @@
 	}
 	member.lastFrameAt.Store(int64(c.env.clock.Now()))
 	c.post(func(now time.Duration) {
-		if c.members[member.id] != member { // it was closed meanwhile
+		if c.members[member.id] != member { // the selector has closed the connection meanwhile
 			conn.Close(nil)
 			return
 		}
@@ -212,7 +213,7 @@
 		c.selector.FirstMessageReceived(now, member.id)
 	})
 	for message := first; ; {
-		c.handleMessage(member.id, conn, message) //nolint:contextcheck // what it starts lasts as long as the sidecar
+		c.handleMessage(member.id, conn, message) //nolint:contextcheck // the goroutines that it starts last as long as the sidecar
 		if message, err = conn.Receive(); err != nil {
 			return err
 		}
--- a/internal/mesh/sidecar/controlplane_connection_test.go
+++ b/internal/mesh/sidecar/controlplane_connection_test.go
@@ -12,10 +12,10 @@
 	"cranegrade/internal/testfleet"
 )
 
-// A member is followed as long as it has a leader. If it hangs, its silence is detected soon rather than after the long time-out of an idle
-// connection. If it reports that it has no leader, it is left only once another member with a leader is found. Meanwhile requests that
-// need the control plane are rejected after the grace period.
-func TestFollowedMemberIsKept(t *testing.T) {
+// A member is followed as long as it reports contact to a quorum. The connection to it counts as having pending work, so that a hang is detected
+// sooner than by the long timeout of an idle connection. A member that reports no quorum contact is left only once another member with quorum
+// contact is found; meanwhile the control plane counts as unreachable after the grace period.
+func TestMemberWithoutQuorumIsFollowedUntilReplaced(t *testing.T) {
 	t.Parallel()
 	a, b := newFakeMember(t), newFakeMember(t)
 	s := sidecarWith(t, a, b)
@@ -23,15 +23,15 @@
 	m, err := first.Receive()
 	assert.NilError(t, err)
 	_, is := m.Value.(*wire.RecordsT)
-	assert.Assert(t, is, "its record: it follows by now")
+	assert.Assert(t, is, "the first message on a followed connection must be the sidecar's record")
 	assert.Equal(t, s.controlPlane.conn.Load().Pending(), int64(1))
 	assert.Assert(t, testfleet.Await(patience, s.controlPlane.isReachable))
 	ended := drainUntilClosed(first)
-	loseLeader := func() { first.Send(&wire.HeartbeatT{QuorumContact: false}) }
-	assert.Assert(t, testfleet.Await(patience, func() bool { loseLeader(); return !s.controlPlane.isReachable() }))
+	reportNoQuorum := func() { first.Send(&wire.HeartbeatT{QuorumContact: false}) }
+	assert.Assert(t, testfleet.Await(patience, func() bool { reportNoQuorum(); return !s.controlPlane.isReachable() }))
 	select {
 	case <-ended:
-		t.Fatal("it was left though no other has a leader")
+		t.Fatal("the member was left although no other member has quorum contact")
 	default:
 	}
 	go func() {
@@ -41,7 +41,7 @@
 		}
 	}()
 	assert.Assert(t, testfleet.Await(patience, func() bool {
-		loseLeader()
+		reportNoQuorum()
 		select {
 		case <-ended:
 			return s.controlPlane.isReachable()
@@ -52,7 +52,7 @@
 	assert.Equal(t, s.controlPlane.conn.Load().RemoteAddr(), b.addr)
 }
 
-// drainUntilClosed reads a connection until it ends, which closes the channel.
+// drainUntilClosed reads from a connection on its own goroutine. The returned channel is closed when the connection ends.
 func drainUntilClosed(conn *transport.Conn) chan struct{} {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/mesh/sidecar/directory_source.go
+++ b/internal/mesh/sidecar/directory_source.go
@@ -11,20 +11,20 @@
 	"cranegrade/internal/mesh/directory"
 )
 
-// directorySource is a service's servers, from the directory. It implements engine.Source.
+// directorySource lists the servers of a service, from the directory. It implements engine.Source.
 type directorySource struct {
 	env         *environment
 	directory   *directoryView
 	maintenance *maintenanceView
 	service     string
-	changed     chan struct{}
-	version     atomic.Uint64
+	changed     chan struct{} // signals that the list may have changed
+	version     atomic.Uint64 // of the last list that was reported
 }
 
 // String implements engine.Source.
 func (s *directorySource) String() string { return "the directory" }
 
-// Watch implements engine.Source: it reports the complete list, and again with each change, until ctx ends.
+// Watch implements engine.Source: it reports the complete list at once and after each change, until ctx ends.
 func (s *directorySource) Watch(ctx context.Context, _ string, onUpdate func(engine.ListUpdate)) error {
 	var last []engine.Listed
 	for first := true; ; first = false {
@@ -53,7 +53,7 @@
 			continue
 		}
 		listed := engine.Listed{Server: balancer.Server{ID: r.ServerID, Zone: r.Zone, State: balancer.Ready}, Addr: r.Addr}
-		if r.State == directory.ServerDraining || r.Leaving || s.maintenance.isOut(r.Addr) {
+		if r.State == directory.ServerDraining || r.Leaving || s.maintenance.isInMaintenance(r.Addr) {
 			listed.State = balancer.Draining
 		}
 		if r.WarmAt > 0 {
--- a/internal/mesh/sidecar/directory_view.go
+++ b/internal/mesh/sidecar/directory_view.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/directory"
 )
 
-// sidecarSilenceTimeout is after how long without a record a sidecar counts as gone.
+// sidecarSilenceTimeout is the time without a new record after which a sidecar is removed from the directory.
 const sidecarSilenceTimeout = 45 * time.Second
 
 // directoryView is this sidecar's copy of the directory: all sidecars, and the state of the server beside each. The
@@ -28,7 +28,7 @@
 	return d
 }
 
-// mergeRecords merges records that a member sent, or this sidecar's own.
+// mergeRecords merges records that a control-plane member sent, or this sidecar's own record.
 func (d *directoryView) mergeRecords(records []directory.Record) {
 	addr := d.env.addr()
 	d.mu.Lock()
@@ -48,7 +48,7 @@
 	d.pools.refreshServices()
 }
 
-// expire removes sidecars of which no record has come for sidecarSilenceTimeout.
+// expire removes sidecars of which no new record has been received for sidecarSilenceTimeout.
 func (d *directoryView) expire() {
 	d.mu.Lock()
 	next, dropped := d.table.Load().Expire(d.env.clock.Now(), sidecarSilenceTimeout)
--- a/internal/mesh/sidecar/fake_control_plane_test.go
+++ b/internal/mesh/sidecar/fake_control_plane_test.go
@@ -22,16 +22,18 @@
 
 	mu            sync.Mutex // guards below
 	items         *wire.ItemsT
-	seenAs        map[string]string // a sidecar's address as the others see it
+	seenAs        map[string]string // by a sidecar's address: the address that the directory shows to the others, e.g. of a relay
 	records       map[string]*wire.RecordT
 	conns         map[*transport.Conn]bool
 	store         *idempotency.Store
-	overrideGrant func(idempotency.LeaseRequest, idempotency.LeaseResult) idempotency.LeaseResult // injected fault; nil: none
-	// heldBack holds back the replies to claims, or with holdRequests the claims themselves, until it is closed; nil: nothing does
-	heldBack     chan struct{}
-	holdRequests bool
+	overrideGrant func(idempotency.LeaseRequest, idempotency.LeaseResult) idempotency.LeaseResult // injected fault, or nil
+	// leaseDelay delays the replies to lease requests until it is closed; nil for no delay. With delayRequests the requests themselves are applied only
+	// then.
+	leaseDelay    chan struct{}
+	delayRequests bool
 }
 
+// startFakeControlPlane starts a fake control plane with the configuration items of a JSON text.
 func startFakeControlPlane(t testing.TB, text string) *fakeControlPlane {
 	t.Helper()
 	items, err := config.ParseItems([]byte(text))
@@ -49,6 +51,7 @@
 	return r
 }
 
+// serve handles the messages of a sidecar until its connection ends.
 func (r *fakeControlPlane) serve(c *transport.Conn) {
 	r.mu.Lock()
 	r.conns[c] = true
@@ -77,29 +80,29 @@
 	r.mu.Unlock()
 }
 
-// reply answers a call, at once or late.
+// reply answers a call. If leaseDelay is set, the reply to a lease request is delayed until it is closed.
 func (r *fakeControlPlane) reply(c *transport.Conn, a *wire.CallT) {
 	r.mu.Lock()
-	late, taken := r.heldBack, r.holdRequests
+	delay, delayRequests := r.leaseDelay, r.delayRequests
 	r.mu.Unlock()
-	if late == nil || a.Kind != codec.CallLeaseKeys {
+	if delay == nil || a.Kind != codec.CallLeaseKeys {
 		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: r.answer(a)})
 		return
 	}
 	var body []byte
-	if !taken {
+	if !delayRequests {
 		body = r.answer(a)
 	}
 	go func() {
-		<-late
-		if taken {
+		<-delay
+		if delayRequests {
 			body = r.answer(a)
 		}
 		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: body})
 	}()
 }
 
-// broadcast sends the records of all sidecars to each of them.
+// broadcast sends the records of all sidecars to each connected sidecar.
 func (r *fakeControlPlane) broadcast() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,6 +119,7 @@
 	}
 }
 
+// answer returns the body of the reply to a call.
 func (r *fakeControlPlane) answer(a *wire.CallT) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/sidecar/fake_member_test.go
+++ b/internal/mesh/sidecar/fake_member_test.go
@@ -15,7 +15,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// patience is how long a test waits for an expected state.
+// patience is the time limit for reaching an expected state.
 const patience = 20 * time.Second
 
 // fakeMember stands in for a control-plane member, and accepts the connections that a sidecar dials to it.
@@ -44,20 +44,20 @@
 	return m
 }
 
-// greet sends the first messages of a member, which say whether it has a leader.
-func greet(conn *transport.Conn, hasLeader bool) {
+// greet sends the first messages of a member, which report whether it has contact to a quorum.
+func greet(conn *transport.Conn, hasQuorum bool) {
 	conn.Send(&wire.MembersT{})
-	conn.Send(&wire.HeartbeatT{QuorumContact: hasLeader})
+	conn.Send(&wire.HeartbeatT{QuorumContact: hasQuorum})
 }
 
 // acceptDial accepts the next connection and greets it.
-func (m *fakeMember) acceptDial(hasLeader bool) *transport.Conn {
+func (m *fakeMember) acceptDial(hasQuorum bool) *transport.Conn {
 	conn := <-m.conns
-	greet(conn, hasLeader)
+	greet(conn, hasQuorum)
 	return conn
 }
 
-// sidecarWith returns a sidecar whose seeds are these members. Only the goroutine of its control-plane connection runs.
+// sidecarWith returns a sidecar with these members as its seeds. Only its control-plane connection runs.
 func sidecarWith(t *testing.T, members ...*fakeMember) *Sidecar {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/mesh/sidecar/faults_test.go
+++ b/internal/mesh/sidecar/faults_test.go
@@ -15,15 +15,15 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Servers respond twice, late, in the name of another request, in none, with more bytes than announced, in chunks, with a long body, or with a
-// rejection, to many concurrent callers on one upstream. Each caller gets its own response, and calls that are not idempotent run once.
+// Servers respond twice, late, with the Attempt-Id of another request or without one, with more bytes than announced, in chunks, with a long body, or
+// with a rejection, to many concurrent callers on one upstream. Each caller gets its own response, and calls that are not idempotent run once.
 func TestFaultyServers(t *testing.T) {
 	t.Parallel()
 	x := startCallChain(t, 2)
-	hows := []string{"plain", "twice", "late", "more", "chunks", "long", "shed", "failed", "contrary", "unnamed", "wrong"}
+	behaviors := []string{"plain", "twice", "late", "more", "chunks", "long", "shed", "failed", "contrary", "unnamed", "wrong"}
 	var all sync.WaitGroup
 	for _, kind := range []kindOfCall{onceCall, keyedCall, repeatableCall} {
-		for n, how := range hows {
+		for n, behavior := range behaviors {
 			all.Go(func() {
 				c := x.dial()
 				defer func() { c.c.Close() }()
@@ -32,21 +32,21 @@
 					if kind == keyedCall {
 						key = "k-" + attempt
 					}
-					// Calls of one connection differ, so that an answer behind another is one to a different call.
-					answer := c.call(attempt, kind, hows[(n+round)%len(hows)], key, 300*time.Millisecond)
-					if answer.Status == 0 { // a long answer that broke, or the connection was closed behind a refusal
+					// The calls on one connection differ, so that a surplus response would be matched to a different call.
+					answer := c.call(attempt, kind, behaviors[(n+round)%len(behaviors)], key, 300*time.Millisecond)
+					if answer.Status == 0 { // a truncated long response, or a connection that was closed after a rejection
 						c.c.Close()
 						c = x.dial()
 					}
-					if round == 0 && how == "plain" && answer.Status == 0 {
-						t.Error("a plain call has no answer")
+					if round == 0 && behavior == "plain" && answer.Status == 0 {
+						t.Error("a plain call got no response")
 					}
 				}
 			})
 		}
 	}
 	all.Wait()
-	// Calls that servers spoilt have not spoilt the connections of those that come after, of each kind.
+	// Later calls of each kind succeed: faulty responses have not corrupted the connections.
 	for _, kind := range []kindOfCall{onceCall, keyedCall, repeatableCall} {
 		served := 0
 		await(t, func() bool {
@@ -63,8 +63,8 @@
 	x.assertNoViolations()
 }
 
-// When an upstream is cut with many calls in flight, each caller learns that its call may have run, and none runs again.
-func TestManyAttemptsOnOneUpstream(t *testing.T) {
+// An upstream connection is cut with many calls in flight: each caller gets a 502, because its call may have run, and no call runs again.
+func TestUpstreamCutWithManyCallsInFlight(t *testing.T) {
 	for _, mode := range []cutMode{cutReset, cutClose, cutLate} {
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
@@ -77,7 +77,7 @@
 			for n := range ids {
 				ids[n] = newAttemptID()
 				all.Go(func() {
-					answer := x.callAs(ids[n], onceCall, "plain", "", 5*time.Second)
+					answer := x.callWithID(ids[n], onceCall, "plain", "", 5*time.Second)
 					if want := map[bool]int{true: 200, false: 502}[mode == cutLate]; answer.Status != want {
 						t.Errorf("%s: %+v", ids[n], answer)
 					}
@@ -92,11 +92,11 @@
 			})
 			c := newCut(mode, false, 10)
 			cutID := newAttemptID()
-			x.upstreamRelays[0].plan(cutID, c)
-			all.Go(func() { x.callAs(cutID, onceCall, "plain", "", 5*time.Second) })
-			<-c.struck
-			close(c.mended)
-			if mode != cutLate { // their answers come after the end
+			x.upstreamRelays[0].scheduleCut(cutID, c)
+			all.Go(func() { x.callWithID(cutID, onceCall, "plain", "", 5*time.Second) })
+			<-c.applied
+			close(c.repaired)
+			if mode != cutLate { // with cutLate, the responses only follow once hold is closed
 				await(t, func() bool {
 					n := 0
 					for _, id := range ids {
@@ -113,7 +113,7 @@
 	}
 }
 
-// A caller disconnects after each byte of its request, or before the response. An incomplete request never runs.
+// A caller disconnects after each byte of its request, the last included. An incomplete request never runs, and a complete one at most once.
 func TestCallerDisconnects(t *testing.T) {
 	for _, mode := range []cutMode{cutReset, cutClose} {
 		for _, kind := range []kindOfCall{onceCall, keyedCall} {
@@ -144,9 +144,9 @@
 	}
 }
 
-// Two non-idempotent calls arrive in one segment, followed by bytes that are not a request. There are two responses, in order, and no third
-// response to a call.
-func TestCallsInOneSegment(t *testing.T) {
+// Two non-idempotent calls arrive in one segment, followed by bytes that are not a request. Both calls get their responses in order, and the rest gets
+// a 400.
+func TestPipelinedCallsInOneSegment(t *testing.T) {
 	t.Parallel()
 	x := startCallChain(t, 1)
 	a, b := newAttemptID(), newAttemptID()
@@ -188,8 +188,8 @@
 	x.assertNoViolations()
 }
 
-// If a sidecar uses a stream ID again while the first attempt is in flight, the connection is closed, since responses on it could not be told
-// apart.
+// If a peer reuses a stream ID while the first attempt is in flight, the connection is closed, because responses to the two attempts could not be
+// distinguished.
 func TestStreamIDReuseByPeer(t *testing.T) {
 	t.Parallel()
 	x := startCallChain(t, 1)
@@ -216,32 +216,32 @@
 	assert.Equal(t, x.history.runs(ids[1]), 0)
 }
 
-// A lease is granted after its sidecar has given up and responded that the request has not run, because the reply is delayed or the lease request
-// arrives after its release. A repeat of the key runs once, or is rejected because the key can't be granted.
-func TestLateGrant(t *testing.T) {
-	for _, taken := range []bool{false, true} {
-		t.Run(fmt.Sprintf("taken late=%v", taken), func(t *testing.T) {
+// A lease is granted after the requesting sidecar has given up and responded that the request has not run: either the reply is delayed, or the lease
+// request is applied after its release. Repeats of the key run once at most, or are rejected because the key can't be granted.
+func TestLeaseGrantedAfterTimeout(t *testing.T) {
+	for _, delayRequests := range []bool{false, true} {
+		t.Run(fmt.Sprintf("delayRequests=%v", delayRequests), func(t *testing.T) {
 			t.Parallel()
 			x := startCallChain(t, 2)
 			for range 4 {
-				late := make(chan struct{})
+				delay := make(chan struct{})
 				x.controlPlane.mu.Lock()
-				x.controlPlane.heldBack, x.controlPlane.holdRequests = late, taken
+				x.controlPlane.leaseDelay, x.controlPlane.delayRequests = delay, delayRequests
 				x.controlPlane.mu.Unlock()
 				key := "k-" + newAttemptID()
 				var all sync.WaitGroup
-				for range 2 { // by whichever sidecar is drawn
+				for range 2 { // each through a randomly chosen far sidecar
 					all.Go(func() {
 						if answer := x.call(keyedCall, "plain", key, 2*time.Second); answer.Status == 200 || answer.Status == 0 {
-							t.Errorf("while nothing is granted: %+v", answer)
+							t.Errorf("unexpected response while no lease is granted: %+v", answer)
 						}
 					})
 				}
 				all.Wait()
 				x.controlPlane.mu.Lock()
-				x.controlPlane.heldBack = nil
+				x.controlPlane.leaseDelay = nil
 				x.controlPlane.mu.Unlock()
-				close(late)
+				close(delay)
 				for range 4 {
 					x.call(keyedCall, "plain", key, 2*time.Second)
 				}
@@ -251,12 +251,12 @@
 	}
 }
 
-// A caller uses one Attempt-Id for two calls of a key. They still count as two calls: the lease of the first is not granted to a later attempt of
-// the second.
-func TestAttemptIDUsedTwice(t *testing.T) {
+// A caller uses the same Attempt-Id for two calls with the same key. They are distinct calls: the lease of the first is not granted to a later attempt
+// of the second.
+func TestAttemptIDReusedForSameKey(t *testing.T) {
 	t.Parallel()
 	x := startCallChain(t, 3)
-	only := func(server int) {
+	acceptOnlyAt := func(server int) {
 		for n, far := range x.far {
 			far.inbound.draining.Store(n != server) // rejected before their key is claimed
 		}
@@ -264,11 +264,11 @@
 	for range 20 {
 		attempt := newAttemptID()
 		key := "k-" + attempt
-		only(0)
-		await(t, func() bool { return x.callAs(attempt, keyedCall, "plain", key, 2*time.Second).Status == 200 })
-		only(2)
-		x.callAs(attempt, keyedCall, "plain", key, 2*time.Second)
+		acceptOnlyAt(0)
+		await(t, func() bool { return x.callWithID(attempt, keyedCall, "plain", key, 2*time.Second).Status == 200 })
+		acceptOnlyAt(2)
+		x.callWithID(attempt, keyedCall, "plain", key, 2*time.Second)
 	}
-	// A 503 to one of the two says nothing of the other, and the history knows them by one id.
+	// Only second runs are checked. The history records both calls under one ID, and a 503 to one does not mean that the other has not run.
 	assert.Equal(t, x.countViolations("TWICE"), 0)
 }
--- a/internal/mesh/sidecar/final_answer_test.go
+++ b/internal/mesh/sidecar/final_answer_test.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/testkit"
 )
 
-// configure has the control plane send items to the sidecars, and waits until the caller's has the named route.
+// configure sends items from the control plane to all sidecars, and waits until the caller's sidecar has the named route.
 func (x *callChain) configure(routeName, text string) {
 	x.t.Helper()
 	items, err := config.ParseItems([]byte(text))
@@ -26,7 +26,7 @@
 	await(x.t, func() bool { return x.near.configuration.routing.Load().Route(routeName) != nil })
 }
 
-// shortRoute is a route with a time-out that is far shorter than the budget of the tests' callers.
+// shortRoute is a route whose timeout is far shorter than the time budget of the tests' calls.
 const (
 	shortRouteTimeout = 300 * time.Millisecond
 	shortRoute        = `{"Upsert":{"ListenerList":[{"HostName":"` + chainHost + `","PolicyRules":[{"Name":"short","RouteType":"idempotent",
@@ -34,8 +34,8 @@
 		"ForwardAction":{"Service":"stock","TimeoutS":0.3,"RetryCount":3}}]}]}}`
 )
 
-// A call that its server does not answer gets its final answer by the route's time-out, however long its caller would wait.
-func TestFinalAnswerByRouteTimeout(t *testing.T) {
+// A call without a response from its server is answered within the route's timeout, even if the caller's time budget is longer.
+func TestResponseWithinRouteTimeout(t *testing.T) {
 	x := startCallChain(t, 1)
 	x.configure("short", shortRoute)
 	x.attachServer(0, func(a *arrival) bool {
@@ -49,8 +49,8 @@
 	assert.Assert(t, time.Since(began) < promptly, "%v", time.Since(began))
 }
 
-// The deadline of a call and the time of the engine's fallback answer are within the time of the route and of the caller.
-func TestDeadlineIsWithinTheTimeLeft(t *testing.T) {
+// The deadline of a call and the time of the engine's fallback answer are within both the route's timeout and the caller's time budget.
+func TestDeadlineIsWithinTimeBudget(t *testing.T) {
 	const now = time.Hour
 	x := startCallChain(t, 1)
 	x.configure("short", shortRoute)
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -14,16 +14,16 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Hollow is the control side of a sidecar, of which package scale runs many in one process (like the hollow nodes of
-// Kubernetes). It has the same parts as a Sidecar: the control-plane connection, the directory, the configuration,
-// the pools of all routed services and the API of its server, but no listeners for traffic. It does what a Sidecar
-// without traffic does, except that it does not listen at Outbound, Inbound and Readiness, and does not probe its
-// server at the start.
+// Hollow is a sidecar without traffic, for scale tests: package scale runs many in one process, like the hollow nodes
+// of Kubernetes. It has the same components as a Sidecar: the control-plane connection, the directory, the
+// configuration, the pools of all routed services and the API of its server. It differs from a Sidecar without traffic
+// in that it does not listen at Outbound, Inbound and Readiness, and does not probe its server at the start.
 //
-// It is in this package because it needs the assembly of the parts. Programs that do not use it do not link it.
+// It is in this package because it uses the unexported assembly of the components. Programs that do not use it do not
+// link it.
 type Hollow struct{ sidecar *Sidecar }
 
-// NewHollow listens for the server's calls at ControlPlane; Run serves.
+// NewHollow opens the listener for the server's API calls, at the address in the ControlPlane setting. Run serves it.
 func NewHollow(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (*Hollow, error) {
 	listener, err := net.Listen("tcp4", set.ListenAddrs.ControlPlane)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return &Hollow{s}, nil
 }
 
-// Run follows a control plane until ctx ends. The pools, which serve traffic in a Sidecar, only end with the process.
+// Run follows the control plane until ctx ends. The goroutines of the pools run until the process ends, as in a Sidecar.
 func (h *Hollow) Run(ctx context.Context) {
 	s := h.sidecar
 	work, cancel := context.WithCancel(context.Background())
@@ -47,24 +47,24 @@
 	s.startControl()
 	<-ctx.Done()
 	s.readiness.stopping.Store(true)
-	s.localServer.leave() //nolint:contextcheck // what it starts lasts as long as the sidecar
+	s.localServer.leave() //nolint:contextcheck // the goroutines that it starts last as long as the sidecar
 	s.controlPlane.close()
 	s.upstreams.close()
 }
 
-// Confirmed reports whether the configuration was confirmed by the control plane at least once.
+// Confirmed reports whether a linearizable read has confirmed the configuration at least once.
 func (h *Hollow) Confirmed() bool { return h.sidecar.readiness.configured.Load() }
 
 // KnownSidecars returns the number of sidecars in the directory.
 func (h *Hollow) KnownSidecars() int { return h.sidecar.directory.table.Load().Len() }
 
-// ServerState returns the state of the server beside the sidecar at addr, as this one knows it.
+// ServerState returns the state, in this sidecar's directory, of the server beside the sidecar at addr.
 func (h *Hollow) ServerState(addr string) directory.ServerState {
 	r, _ := h.sidecar.directory.table.Load().Get(addr)
 	return r.State
 }
 
-// RouteVersion returns the version of a route that is in force here, or 0 if there is none of that name.
+// RouteVersion returns the version of a route in the routing table, or 0 if there is no route with that name.
 func (h *Hollow) RouteVersion(name string) int64 {
 	if r := h.sidecar.configuration.routing.Load().Route(name); r != nil {
 		return r.Version
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// FollowedMember returns the address of the control-plane member that is followed, or "" if none is.
+// FollowedMember returns the address of the followed control-plane member, or "" if there is none.
 func (h *Hollow) FollowedMember() string {
 	if conn := h.sidecar.controlPlane.current(); conn != nil {
 		return conn.RemoteAddr()
@@ -80,8 +80,8 @@
 	return ""
 }
 
-// Claim leases a key, as for a keyed request that is about to run at the server here, and stores an empty response
-// for it.
+// Claim leases an idempotency key, as for a keyed request that is about to run at the local server, and stores an empty
+// response for it.
 func (h *Hollow) Claim(ctx context.Context, key string) (granted bool, err error) {
 	s := h.sidecar
 	responses, window := s.inbound.responses, s.env.keyLeaseTime()
@@ -105,7 +105,7 @@
 	return true, nil
 }
 
-// ItemCount returns the number of configuration items held.
+// ItemCount returns the number of configuration items that this sidecar has received.
 func (h *Hollow) ItemCount() int {
 	items := h.sidecar.configuration.currentItems()
 	return items.Len()
--- a/internal/mesh/sidecar/injected_faults_test.go
+++ b/internal/mesh/sidecar/injected_faults_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Injected: a stream ID is used again while the first attempt is in flight. The second attempt is not sent and fails, and the first gets its own
-// response. Without the check the first response is lost, or goes to the second attempt.
+// Injected fault: the sidecar reuses a stream ID while the first attempt is in flight. The second attempt fails without being sent, and the first gets
+// its own response. Without the check in upstream.add, the first response would be lost or go to the second attempt.
 func TestStreamIDReuseInjected(t *testing.T) {
 	t.Parallel()
 	for range 5 {
@@ -22,14 +22,14 @@
 		first, second := newAttemptID(), newAttemptID()
 		var all sync.WaitGroup
 		all.Go(func() {
-			if answer := x.callAs(first, onceCall, "plain", "", 5*time.Second); answer.Status != 200 {
-				t.Errorf("the first: %+v", answer)
+			if answer := x.callWithID(first, onceCall, "plain", "", 5*time.Second); answer.Status != 200 {
+				t.Errorf("unexpected response to the first call: %+v", answer)
 			}
 		})
 		await(t, func() bool { return x.history.runs(first) == 1 })
 		x.near.upstreams.lastStreamID.Add(^uint64(0))
-		if answer := x.callAs(second, onceCall, "plain", "", 5*time.Second); answer.Status != 503 {
-			t.Errorf("the second: %+v", answer)
+		if answer := x.callWithID(second, onceCall, "plain", "", 5*time.Second); answer.Status != 503 {
+			t.Errorf("unexpected response to the second call: %+v", answer)
 		}
 		close(hold)
 		all.Wait()
@@ -37,9 +37,9 @@
 	}
 }
 
-// Injected: a sidecar assigns responses by the order of their requests instead of by stream ID. They count as broken, and no caller gets the
-// response to another call.
-func TestAnswersByOrderInjected(t *testing.T) {
+// Injected fault: two responses on an upstream are sent with each other's stream ID. Both attempts end as broken, and no caller gets the response to
+// another call.
+func TestSwappedStreamIDsInjected(t *testing.T) {
 	t.Parallel()
 	x := startCallChain(t, 1)
 	const pairs = 10
@@ -48,7 +48,7 @@
 		x.fakeServers[0].hold.Store(&hold)
 		ids := []string{newAttemptID(), newAttemptID()}
 		var mu sync.Mutex
-		of := map[string]uint64{}
+		swappedIDs := map[string]uint64{} // by Attempt-Id
 		x.upstreamRelays[0].mu.Lock()
 		x.upstreamRelays[0].change = func(p relayedMessage) []byte {
 			m, err := codec.Decode(p.raw[4:])
@@ -58,7 +58,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if id, known := of[p.attempt]; known {
+			if id, isSwapped := swappedIDs[p.attempt]; isSwapped {
 				a.Id = id
 			}
 			return codec.Encode(a)
@@ -67,22 +67,22 @@
 		var all sync.WaitGroup
 		for _, id := range ids {
 			all.Go(func() {
-				if answer := x.callAs(id, onceCall, "plain", "", 5*time.Second); answer.Status != 502 {
+				if answer := x.callWithID(id, onceCall, "plain", "", 5*time.Second); answer.Status != 502 {
 					t.Errorf("%s: %+v", id, answer)
 				}
 			})
 		}
 		await(t, func() bool { return x.history.runs(ids[0])+x.history.runs(ids[1]) == 2 })
-		numbers := map[string]uint64{}
+		openStreamIDs := map[string]uint64{}
 		for _, to := range x.near.upstreams.byAddr {
 			to.mu.Lock()
 			for n, p := range to.attempts {
-				numbers[p.attemptID] = n
+				openStreamIDs[p.attemptID] = n
 			}
 			to.mu.Unlock()
 		}
 		mu.Lock()
-		of[ids[0]], of[ids[1]] = numbers[ids[1]], numbers[ids[0]]
+		swappedIDs[ids[0]], swappedIDs[ids[1]] = openStreamIDs[ids[1]], openStreamIDs[ids[0]]
 		mu.Unlock()
 		close(hold)
 		all.Wait()
@@ -90,15 +90,15 @@
 	x.assertNoViolations()
 }
 
-// injectEnding makes a code stand for another ending until the test ends. The table is the package's, so no test runs in parallel meanwhile.
+// injectEnding maps a wire code to another ending until the test ends. It changes a package variable, so the test must not run in parallel.
 func injectEnding(t *testing.T, code byte, as balancer.Ending) {
 	t.Helper()
-	was := endingsByCode[code]
+	original := endingsByCode[code]
 	endingsByCode[code] = as
-	t.Cleanup(func() { endingsByCode[code] = was })
+	t.Cleanup(func() { endingsByCode[code] = original })
 }
 
-// countViolations returns the number of violations of a kind.
+// countViolations returns the number of violations with a kind, the prefix of their text.
 func (x *callChain) countViolations(kind string) (n int) {
 	for _, v := range x.history.violations() {
 		if len(v) >= len(kind) && v[:len(kind)] == kind {
@@ -108,30 +108,30 @@
 	return n
 }
 
-// Injected: a call whose bytes were sent is retried, or reported as not executed. Each fault is found by cutting a response.
-func TestRetriesInjected(t *testing.T) {
+// Injected faults: a call that was sent is retried, or is reported as not executed. The violations that cut responses cause must be detected.
+func TestUnsafeRetriesInjected(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		as      balancer.Ending
 		servers int
 		kind    string
-	}{{"tried again", balancer.Unreachable, 2, "TWICE"}, {"called not run", balancer.Overloaded, 1, "REFUSED"}} {
+	}{{"retried", balancer.Unreachable, 2, "TWICE"}, {"reported as not executed", balancer.Overloaded, 1, "REFUSED"}} {
 		t.Run(c.name, func(t *testing.T) {
 			injectEnding(t, codeBroken, c.as)
 			x := startCallChain(t, c.servers)
-			points := x.sweep(toServer, onceCall, cutReset, true, 0, 5)
+			points := x.cutAtOffsets(toServer, onceCall, cutReset, true, 0, 5)
 			found := x.countViolations(c.kind)
-			t.Logf("found in %d of %d cuts", found, points)
+			t.Logf("violation detected in %d of %d cuts", found, points)
 			if found == 0 {
-				t.Error("not found")
+				t.Error("the injected fault was not detected")
 			}
 		})
 	}
 }
 
-// Injected: the control plane grants a key to a second sidecar while the first holds its lease, as a member that lags might. The fault is found as
-// a second run.
-func TestLateGrantInjected(t *testing.T) {
+// Injected fault: the control plane grants every lease request, also for a key that another sidecar has leased, as a stale member might. The second run
+// of a key must be detected.
+func TestDuplicateLeaseInjected(t *testing.T) {
 	t.Parallel()
 	x := startCallChain(t, 2)
 	x.controlPlane.mu.Lock()
@@ -148,8 +148,8 @@
 		}
 	}
 	found := x.countViolations("TWICE")
-	t.Logf("found for %d of %d keys", found, keys)
+	t.Logf("violation detected for %d of %d keys", found, keys)
 	if found == 0 {
-		t.Error("not found")
+		t.Error("the injected fault was not detected")
 	}
 }
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -20,20 +20,21 @@
 	connectionDrainTime = 2300 * time.Millisecond
 	// idleDrainDelay is how long idle connections are left open at the beginning of connectionDrainTime.
 	idleDrainDelay = time.Second
-	// blockedRequestCutoff is how long before the end requests are given up that wait for a server, or that block the
-	// responses to later ones on their connection.
+	// blockedRequestCutoff is the time before the shutdown deadline at which the sidecar abandons requests that wait for
+	// a server, and requests that block the responses to later ones on their connection.
 	blockedRequestCutoff = 300 * time.Millisecond
 	// drainInterval is how often open requests and connections are checked during the shutdown.
 	drainInterval = 100 * time.Millisecond
 
-	// maxRequestHeadBytes bounds the head of a request while it is read. The configuration may set a lower limit.
+	// maxRequestHeadBytes bounds the request line and header of a request while they are read. The configuration may set
+	// a lower limit.
 	maxRequestHeadBytes = 256 << 10
-	// callerIdleTimeout is after how long idle connections of callers are closed, unless the configuration sets another.
+	// callerIdleTimeout is the idle timeout of connections of callers, unless the configuration sets another.
 	callerIdleTimeout = 15 * time.Second
 )
 
-// outboundListener is the listener to which the applications beside the sidecar send their requests. It owns the
-// front, which serves it.
+// outboundListener is the listener to which the application beside the sidecar sends its requests. It owns the front,
+// the HTTP server that serves the listener.
 type outboundListener struct {
 	env         *environment
 	readiness   *readiness
@@ -42,8 +43,8 @@
 	serving     sync.WaitGroup              // of the goroutine that accepts connections
 }
 
-// open opens the listener. Until the configuration is confirmed, requests are rejected with a Retry-After, which is
-// more useful to callers than a refused connection.
+// open opens the listener. Until the configuration is confirmed, requests are rejected with a Retry-After, which tells
+// callers more than a refused connection.
 func (o *outboundListener) open(resolver front.Routes, protocol front.Protocol) error {
 	listener, err := net.Listen("tcp4", o.env.settings.Load().ListenAddrs.Outbound)
 	if err != nil {
@@ -76,7 +77,7 @@
 	f.SetHeaderTimeout(limits.HeaderTimeoutS.Duration())
 }
 
-// drain makes each response ask its caller to close the connection, or stops that.
+// drain sets whether each response asks its caller to close the connection.
 func (o *outboundListener) drain(on bool) {
 	if f := o.front.Load(); f != nil {
 		f.SetDraining(on)
@@ -90,25 +91,25 @@
 	}
 }
 
-// finish waits until no connection is open or ctx ends, and closes the listener. It checks at each tick. Shortly before the
-// end it calls abandonWaiting at each tick, which is to answer requests that no server has: their connections end with the
-// process.
+// finish waits until no connection is open or ctx ends, checking at each tick, and then closes the listener. From
+// blockedRequestCutoff before the deadline of ctx it calls abandonWaiting at each tick, which has to answer the requests
+// that wait for a server: otherwise their connections would end with the process, without a response.
 func (o *outboundListener) finish(ctx context.Context, tick <-chan time.Time, abandonWaiting func()) {
 	f := o.front.Load()
 	if f == nil {
 		return
 	}
-	// Shutdown has to come last: it closes a connection after the response being written, which loses the responses to
-	// pipelined requests.
+	// Shutdown is called last because it closes a connection after the response that is being written, and so drops the
+	// responses to pipelined requests.
 	f.HandOverListener()
 	deadline, _ := ctx.Deadline()
-	gaveUp := false
+	pipelinesAbandoned := false
 	for f.OpenConnections() > 0 && ctx.Err() == nil {
-		f.CloseIdleIfDraining() //nolint:contextcheck // its context bounds the wait only
+		f.CloseIdleIfDraining() //nolint:contextcheck // ctx only bounds the wait
 		if time.Until(deadline) < blockedRequestCutoff {
 			abandonWaiting()
-			if !gaveUp {
-				gaveUp = true
+			if !pipelinesAbandoned {
+				pipelinesAbandoned = true
 				f.AbandonBlockedPipelines()
 			}
 		}
--- a/internal/mesh/sidecar/outbound_protocol.go
+++ b/internal/mesh/sidecar/outbound_protocol.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxIDBytes and maxKeyBytes are the largest Attempt-Id and Operation-Key that are accepted, in bytes.
+	// maxIDBytes and maxKeyBytes are the longest Attempt-Id and Operation-Key that are accepted, in bytes.
 	maxIDBytes  = 256
 	maxKeyBytes = 1024
 	// maxTimeBudgetMS is the largest time budget that is accepted, in milliseconds.
@@ -27,13 +27,12 @@
 	// minRetryAfter and maxRetryAfter bound the Retry-After of rejections that the decision module makes.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 500 * time.Millisecond
-	// retryAfterDivisor says how soon a rejected caller may retry: it is told to wait at least the route's latency
-	// target divided by this.
+	// retryAfterDivisor sets the shortest Retry-After of a rejection: the route's latency target divided by it.
 	retryAfterDivisor = 8
-	// rejectedRetryAfter is the Retry-After, in seconds, of rejections that the decision module does not make.
-	rejectedRetryAfter = "0.3"
-	// noTimeBudget is the time budget of a request whose caller names none.
-	noTimeBudget = time.Duration(math.MaxInt64)
+	// rejectionRetryAfterSeconds is the Retry-After of requests that are rejected before they reach the decision module.
+	rejectionRetryAfterSeconds = "0.3"
+	// unlimitedTimeBudget is the time budget of a request without a Time-Budget header.
+	unlimitedTimeBudget = time.Duration(math.MaxInt64)
 )
 
 // callerProtocol is the mesh's protocol towards callers: it reads their requests and writes their responses. It
@@ -46,11 +45,11 @@
 	tokens        *tokenSource
 }
 
-// ServeOwn implements front.Protocol: nothing that comes to Outbound is for the node itself.
+// ServeOwn implements front.Protocol: no request to the outbound listener is addressed to the sidecar itself.
 func (*callerProtocol) ServeOwn(*front.Front, http.ResponseWriter, *http.Request) bool { return false }
 
-// MayStartEarly implements front.Protocol: pipelined requests of idempotent routes are begun before the responses to
-// earlier ones.
+// MayStartEarly implements front.Protocol: a pipelined request of an idempotent route may start before the responses to
+// earlier requests on its connection are complete.
 func (p *callerProtocol) MayStartEarly(request *http.Request) bool {
 	route := matchRoute(p.configuration.routing.Load(), request)
 	return route != nil && route.Kind == routing.Idempotent
@@ -64,13 +63,13 @@
 // MayHaveBody implements front.Protocol.
 func (*callerProtocol) MayHaveBody(*http.Request) bool { return true }
 
-// ParseRequest implements front.Protocol: it checks a request and makes the message that the pool takes. Nothing is
-// sent before it has returned, so every rejection is safe to retry.
+// ParseRequest implements front.Protocol: it validates a request and returns the message that the pool sends. Nothing
+// is sent before it returns, so a caller may retry after any rejection.
 func (p *callerProtocol) ParseRequest(
 	request *http.Request, from *pool.Pool, class string, now time.Duration, call *engine.Call,
 ) (*message.Request, *front.Rejection) {
 	route := p.configuration.routing.Load().Route(class)
-	if route == nil { // it was removed after Route had found it
+	if route == nil { // the route was removed after Route had matched it
 		return nil, reject(request, http.StatusNotFound, "no route")
 	}
 	routed := &routedRequest{
@@ -89,7 +88,7 @@
 		return nil, reject(request, http.StatusServiceUnavailable, "no quorum of control-plane members to grant the key")
 	}
 	limits := &p.configuration.routing.Load().Limits
-	budget, rejection := checkForm(request, routed, limits)
+	budget, rejection := validateRequest(request, routed, limits)
 	if rejection != nil {
 		return nil, rejection
 	}
@@ -104,7 +103,7 @@
 	return newOutboundMessage(request, routed, limits), nil
 }
 
-// newOutboundMessage returns a caller's request as the message that is sent to servers.
+// newOutboundMessage converts a caller's request to the message that is sent to servers.
 func newOutboundMessage(request *http.Request, routed *routedRequest, limits *config.LimitsSpec) *message.Request {
 	m := &message.Request{
 		Method:       request.Method,
@@ -121,14 +120,16 @@
 	return m
 }
 
-// applyPolicy checks a request against its effective policy, and records the rule trace if the caller asks for it.
+// applyPolicy checks a request against its effective policy, and sets the rule trace if the caller asks for it.
 func (p *callerProtocol) applyPolicy(request *http.Request, service string, routed *routedRequest) *front.Rejection {
-	if !routed.route.HasDestination(service) { // the table changed since Route: a request must not be decided by two tables
+	// A service that is not among the route's destinations was chosen from an earlier routing table. A request must not be
+	// decided by two tables.
+	if !routed.route.HasDestination(service) {
 		return reject(request, http.StatusServiceUnavailable, "the route has just changed")
 	}
 	effective := routed.policy
 	if denial := p.configuration.checkPolicy(effective, p.env.settings.Load().Service); denial != nil {
-		p.log(routed.route, effective).Int("status", denial.status).Str("reason", denial.reason).Msg("request rejected by policy")
+		p.logRequest(routed.route, effective).Int("status", denial.status).Str("reason", denial.reason).Msg("request rejected by policy")
 		return reject(request, denial.status, denial.reason)
 	}
 	if request.Header.Get(headerRuleTrace) != "" {
@@ -137,9 +138,9 @@
 	return nil
 }
 
-// checkForm validates the headers and sizes of a request. It returns the request's time budget, which is
-// noTimeBudget if it names none.
-func checkForm(request *http.Request, routed *routedRequest, limits *config.LimitsSpec) (time.Duration, *front.Rejection) {
+// validateRequest checks the headers and sizes of a request. It returns the request's time budget, which is
+// unlimitedTimeBudget if there is no Time-Budget header.
+func validateRequest(request *http.Request, routed *routedRequest, limits *config.LimitsSpec) (time.Duration, *front.Rejection) {
 	header := request.Header
 	keyed := routed.route.Kind == routing.Keyed
 	budgetText := header.Get(headerTimeBudget)
@@ -154,7 +155,7 @@
 	case limits.MaxBodyBytes > 0 && request.ContentLength > limits.MaxBodyBytes:
 		return 0, &front.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
 	case budgetText == "":
-		return noTimeBudget, nil
+		return unlimitedTimeBudget, nil
 	case err != nil || !(budgetMS > 0) || budgetMS > maxTimeBudgetMS: // NaN is not greater than 0
 		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: headerTimeBudget + " is no time in milliseconds"}
 	}
@@ -173,12 +174,12 @@
 	}
 	header.Set(headerAttemptID, routed.attemptID)
 	if routed.policy != nil {
-		p.log(routed.route, routed.policy).Int32("attempts", routed.attempts.Load()).Msg("request not served")
+		p.logRequest(routed.route, routed.policy).Int32("attempts", routed.attempts.Load()).Msg("request not served")
 	}
 	return p.setFailureHeader(header, call, answer, routed)
 }
 
-// setReplyHeader sets the header of a response that a server gave.
+// setReplyHeader copies the header of a server's response.
 func setReplyHeader(header http.Header, reply *message.Reply, routed *routedRequest) {
 	for _, field := range reply.Header {
 		header.Add(field.Name, field.Value)
@@ -188,9 +189,9 @@
 	}
 }
 
-// setFailureHeader sets what a response says that no server gave, and returns its status. Only where a retry is safe
-// does it say when to retry: if the call was rejected, since then no attempt can have run or the route is idempotent,
-// and if no attempt was made at all.
+// setFailureHeader sets the header of a response that the sidecar generates itself, and returns its status. It sets a
+// Retry-After only where a retry is safe: if the call was rejected, since then no attempt can have run or the route is
+// idempotent, and if no attempt was made at all.
 func (p *callerProtocol) setFailureHeader(
 	header http.Header, call *engine.Call, answer engine.Answer, routed *routedRequest,
 ) int {
@@ -208,8 +209,8 @@
 	return http.StatusBadGateway
 }
 
-// formatRetryAfter returns a Retry-After in seconds with three decimal places, where RFC 9110, section 10.2.3, only has
-// whole seconds: callers of the mesh read fractions.
+// formatRetryAfter formats a Retry-After in seconds with three decimal places. RFC 9110, section 10.2.3, only allows
+// whole seconds, but callers of the mesh accept fractions.
 func formatRetryAfter(wait time.Duration) string {
 	const decimals, bits = 3, 64
 	return strconv.FormatFloat(wait.Seconds(), 'f', decimals, bits)
@@ -221,11 +222,11 @@
 		header.Set(headerAttemptID, id)
 	}
 	if rejection.MayRetry {
-		header.Set(headerRetryAfter, rejectedRetryAfter)
+		header.Set(headerRetryAfter, rejectionRetryAfterSeconds)
 	}
 }
 
-// log begins a log line about a request with an effective policy.
-func (p *callerProtocol) log(route *routing.Route, effective *policy.Decision) *zerolog.Event {
+// logRequest begins a log line about a request with an effective policy.
+func (p *callerProtocol) logRequest(route *routing.Route, effective *policy.Decision) *zerolog.Event {
 	return p.env.log.Info().Str("route", route.Name).Str("policy_fingerprint", effective.Fingerprint)
 }
--- a/internal/mesh/sidecar/outbound_request.go
+++ b/internal/mesh/sidecar/outbound_request.go
@@ -10,23 +10,24 @@
 )
 
 // routedRequest is a caller's request with its route, its policy and the state of its attempts. It is the FrontData
-// of the request's message. Its attempts are made one after the other; the fields that they change are atomic, because
-// the front reads them when it answers the call.
+// of the request's message. Attempts are made one after the other; the fields that they change are atomic because the
+// front reads them when it writes the response.
 type routedRequest struct {
 	route     *routing.Route
 	service   *service
 	attemptID string
 	key       string           // idempotency key; empty unless the route is keyed
-	token     string           // of the call with that key; empty unless the route is keyed
+	token     string           // identifies this call in leases of the key; empty unless the route is keyed
 	policy    *policy.Decision // effective policy, or nil if no policy applies
 	ruleTrace string           // value of headerRuleTrace in the response; empty if the caller did not ask for it
 
-	attempts      atomic.Int32  // how many were sent
-	keyNotGranted atomic.Bool   // the control plane could not grant the key, so that no more attempts are made
-	lastEnding    atomic.Uint32 // of the last attempt, a balancer.Ending
+	attempts      atomic.Int32  // number of attempts that were sent
+	keyNotGranted atomic.Bool   // the control plane did not grant the key, so no more attempts are made
+	lastEnding    atomic.Uint32 // how the last attempt ended: a balancer.Ending
 }
 
-// timeout returns the time for a request: that of the route or of the policy, but no more than the caller's budget.
+// timeout returns the timeout of the request: that of the policy, or of the route without one, but no more than the
+// caller's time budget.
 func (r *routedRequest) timeout(budget time.Duration) time.Duration {
 	timeout := r.route.Timeout
 	if r.policy != nil {
@@ -35,7 +36,7 @@
 	return min(timeout, budget)
 }
 
-// maxAttempts returns how many servers the request may be sent to.
+// maxAttempts returns the maximum number of attempts of the request, the first included.
 func (r *routedRequest) maxAttempts() int {
 	if r.policy != nil {
 		return r.policy.MaxAttempts
@@ -43,13 +44,13 @@
 	return r.route.MaxAttempts
 }
 
-// mayRetry reports whether the policy allows a retry after how the last attempt ended.
+// mayRetry reports whether the policy allows a retry after the way in which the last attempt ended.
 func (r *routedRequest) mayRetry() bool {
 	lastEnding := balancer.Ending(r.lastEnding.Load())
 	return r.policy == nil || r.policy.MayRetry(retryConditionNames[lastEnding])
 }
 
-// allowsAttempt reports whether an attempt may be made. Attempts are counted from 0.
+// allowsAttempt reports whether the attempt with this number may be made. Attempts are numbered from 0.
 func (r *routedRequest) allowsAttempt(attempt int) bool {
 	return attempt < r.maxAttempts() && !r.keyNotGranted.Load() && (attempt == 0 || r.mayRetry())
 }
--- a/internal/mesh/sidecar/outbound_routes.go
+++ b/internal/mesh/sidecar/outbound_routes.go
@@ -10,14 +10,14 @@
 	"cranegrade/internal/pool"
 )
 
-// routeResolver finds the pool of a caller's request. It implements front.Routes.
+// routeResolver selects the pool for a caller's request. It implements front.Routes.
 type routeResolver struct {
 	configuration *configuration
 	pools         *servicePools
 	readiness     *readiness
 }
 
-// Route implements front.Routes: the class of a request is the name of its route.
+// Route implements front.Routes: it returns the pool of the request's service and, as its class, the name of its route.
 func (r *routeResolver) Route(request *http.Request) (*pool.Pool, string, *front.Rejection) {
 	route := matchRoute(r.configuration.routing.Load(), request)
 	if !r.readiness.configured.Load() {
@@ -39,7 +39,7 @@
 	return table.Match(request.Host, path)
 }
 
-// reject rejects a request before its body is read. A 503 says when to retry.
+// reject returns the rejection of a request whose body has not been read. The caller may retry after a 503.
 func reject(request *http.Request, status int, text string) *front.Rejection {
 	return &front.Rejection{
 		Status:         status,
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -11,16 +11,16 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// activePolicies is the namespaces and policies in force here, and what this sidecar knows about whether they still
-// are (policy.SidecarState decides). A received set that is not active yet is only among the configuration's items.
-// The zero value is ready to use.
+// activePolicies is the set of namespaces and policies in force in this sidecar, with the state from which
+// policy.SidecarState decides whether they can still be trusted to be active. A set that was received but is not active
+// yet is only among the configuration's items. The zero value is ready to use.
 type activePolicies struct {
 	table       config.Table // guarded by the configuration's lock
 	state       atomic.Pointer[policy.SidecarState]
-	activeSince atomic.Int64 // nanoseconds of the environment's clock
+	activeSince atomic.Int64 // when the set was activated here, in nanoseconds of the environment's clock
 }
 
-// current returns the state as it was set last. Any goroutine may call it.
+// current returns the latest state. Any goroutine may call it.
 func (p *activePolicies) current() policy.SidecarState {
 	if state := p.state.Load(); state != nil {
 		return *state
@@ -28,8 +28,8 @@
 	return policy.SidecarState{}
 }
 
-// setPolicyState replaces the state. From when policies are known, it has the active set confirmed regularly. The
-// caller holds mu.
+// setPolicyState replaces the state. Once policies have been received, it starts the poller, which confirms the active
+// set regularly. The caller holds mu.
 func (c *configuration) setPolicyState(state policy.SidecarState) {
 	c.policies.state.Store(&state)
 	if state.HasPolicies {
@@ -37,18 +37,19 @@
 	}
 }
 
-// isFenced reports whether this sidecar does not know for certain which policies are active.
+// isFenced reports whether this sidecar has to reject requests under policies, because it could not confirm recently
+// which policies are active.
 func (c *configuration) isFenced() bool { return c.policies.current().IsFenced(c.env.clock.Now()) }
 
-// activeFor returns for how long the active set has been active here.
+// activeFor returns the time since the active set was activated in this sidecar.
 func (c *configuration) activeFor() time.Duration {
 	return c.env.clock.Now() - time.Duration(c.policies.activeSince.Load())
 }
 
-// noteReceivedPolicies records that a policy set was received, if it is among items that were merged. The caller
-// holds mu.
-func (c *configuration) noteReceivedPolicies(raised []config.Item) {
-	for _, item := range raised {
+// recordReceivedPolicies records that a policy set was received, if the items that a merge updated include any of it.
+// The caller holds mu.
+func (c *configuration) recordReceivedPolicies(updated []config.Item) {
+	for _, item := range updated {
 		if item.Kind.InPolicySet() {
 			c.setPolicyState(c.policies.current().Receive(c.items.PolicyFingerprint()))
 			return
@@ -56,7 +57,7 @@
 	}
 }
 
-// activatePolicies puts a policy set into force. The caller holds mu.
+// activatePolicies makes a policy set the active one, and rebuilds the routing table. The caller holds mu.
 func (c *configuration) activatePolicies(state policy.SidecarState, table config.Table) {
 	c.policies.table = table
 	c.policies.activeSince.Store(int64(c.env.clock.Now()))
@@ -65,7 +66,7 @@
 	c.env.log.Info().Str("fingerprint", state.Active).Uint64("index", state.ActiveIndex).Msg("policies activated")
 }
 
-// applyActivePolicies applies a member's notice that a set is active.
+// applyActivePolicies applies a member's notification that a policy set is active.
 func (c *configuration) applyActivePolicies(active *wire.ActivePolicyT) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,18 +77,18 @@
 	if confirm {
 		state.HasPolicies = true
 		c.setPolicyState(state)
-		c.poller.pollSoon()
+		c.poller.requestPoll()
 	}
 }
 
-// applyConfirmedTable applies all items and the active policies of a linearizable read that was begun at askedAt. It
-// returns false if the policies do not match their fingerprint, so that the read has to be repeated.
-func (c *configuration) applyConfirmedTable(read *wire.ItemsT, askedAt time.Duration) bool {
+// applyConfirmedTable applies all items and the active policies of a linearizable read that was requested at
+// requestedAt. It returns false if the policies do not match their fingerprint; the read then has to be repeated.
+func (c *configuration) applyConfirmedTable(read *wire.ItemsT, requestedAt time.Duration) bool {
 	c.mergeItems(config.ItemsFromWire(read))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	previous := c.policies.current()
-	state := previous.Restore(read.ActiveFingerprint, read.ActiveIndex, askedAt)
+	state := previous.Restore(read.ActiveFingerprint, read.ActiveIndex, requestedAt)
 	if state.ActiveIndex == previous.ActiveIndex && state.Active == previous.Active {
 		c.setPolicyState(state)
 		return true
@@ -103,19 +104,19 @@
 	return true
 }
 
-// confirmPolicies applies the response to a poll that was begun at askedAt. It returns false if another set is active
-// than here.
-func (c *configuration) confirmPolicies(active *wire.ActivePolicyT, askedAt time.Duration) bool {
+// confirmPolicies applies the reply to a poll that was sent at requestedAt. It returns false if the active set is not the
+// one in force in this sidecar.
+func (c *configuration) confirmPolicies(active *wire.ActivePolicyT, requestedAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	state, same := c.policies.current().Confirm(active.Fingerprint, active.Index, active.CommittedFingerprint, askedAt)
+	state, same := c.policies.current().Confirm(active.Fingerprint, active.Index, active.CommittedFingerprint, requestedAt)
 	if same {
 		c.setPolicyState(state)
 	}
 	return same
 }
 
-// policyDenial is why the effective policy does not allow a request, and the status of the response that says so.
+// policyDenial is the reason for which the effective policy denies a request, and the status of the response.
 type policyDenial struct {
 	status int
 	reason string
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// retryConditionNames is the endings after which a policy may allow a retry, with their names in policies.
+// retryConditionNames maps the endings after which a policy may allow a retry to their names in policies.
 var retryConditionNames = map[balancer.Ending]string{
 	balancer.Overloaded:  "refused",
 	balancer.Unreachable: "unreachable",
--- a/internal/mesh/sidecar/policies_poller.go
+++ b/internal/mesh/sidecar/policies_poller.go
@@ -13,15 +13,15 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// policyPoller polls the followed member for which policies are active, from when any are known until the sidecar
-// ends. The configuration keeps the results. Its goroutine ends with the environment's context; Run does not wait for
-// it, since a connection's goroutine may start it at any time.
+// policyPoller polls the followed member for the active policy set, from the first time that policies are received until
+// the sidecar ends. It passes the replies to the configuration. Its goroutine ends with the environment's context; Run
+// does not wait for it, since a connection's goroutine may start it at any time.
 type policyPoller struct {
 	env           *environment
 	configuration *configuration
 	controlPlane  *controlPlaneConn
-	once          sync.Once // of start
-	pollNow       chan struct{}
+	once          sync.Once // guards start
+	pollRequested chan struct{}
 }
 
 func newPolicyPoller(env *environment, c *configuration, controlPlane *controlPlaneConn) *policyPoller {
@@ -29,29 +29,29 @@
 		env:           env,
 		configuration: c,
 		controlPlane:  controlPlane,
-		pollNow:       make(chan struct{}, 1),
+		pollRequested: make(chan struct{}, 1),
 	}
 }
 
-// start starts the goroutine of run. Only the first call has an effect.
+// start starts run on its own goroutine. Only the first call has an effect.
 func (p *policyPoller) start() { p.once.Do(func() { go p.run() }) }
 
-// pollSoon starts the next poll without waiting for the interval.
-func (p *policyPoller) pollSoon() {
+// requestPoll makes the next poll start without waiting for the interval.
+func (p *policyPoller) requestPoll() {
 	select {
-	case p.pollNow <- struct{}{}:
+	case p.pollRequested <- struct{}{}:
 	default:
 	}
 }
 
-// run polls at policy.ConfirmInterval, and whenever pollSoon was called.
+// run polls every policy.ConfirmInterval, and whenever requestPoll was called.
 func (p *policyPoller) run() {
 	ticker := time.NewTicker(policy.ConfirmInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-p.pollNow:
+		case <-p.pollRequested:
 		case <-p.env.ctx.Done():
 			return
 		}
@@ -60,27 +60,28 @@
 			continue
 		}
 		if err := p.poll(conn); err != nil {
-			p.env.log.Info().Err(err).Str("member_addr", conn.RemoteAddr()).Msg("poll of the active policies failed")
+			p.env.log.Info().Err(err).Str("member_addr", conn.RemoteAddr()).
+				Msg("poll of the active policies failed, polling again at the next interval")
 		}
 	}
 }
 
-// poll polls once, and reads the complete table if another set is active than here.
+// poll polls once. If the active set is not the one in force in this sidecar, it reads the complete table.
 func (p *policyPoller) poll(conn *transport.Conn) error {
 	ctx, cancel := context.WithTimeout(p.env.ctx, callTimeout)
 	defer cancel()
-	askedAt := p.env.clock.Now()
+	requestedAt := p.env.clock.Now()
 	body, err := p.env.callMember(ctx, conn, codec.CallActivePolicy, nil)
 	if err != nil {
-		return errors.Annotate(err, "read of the active policies")
+		return errors.Annotate(err, "read the active policies")
 	}
 	active, err := codec.DecodeTable(body, func(encoded []byte) *wire.ActivePolicyT {
 		return wire.GetRootAsActivePolicy(encoded, 0).UnPack()
 	})
 	if err != nil {
-		return errors.Annotatef(err, "reply of %s on the active policies", conn.RemoteAddr())
+		return errors.Annotatef(err, "decode the active policies from control-plane member %s", conn.RemoteAddr())
 	}
-	if p.configuration.confirmPolicies(active, askedAt) {
+	if p.configuration.confirmPolicies(active, requestedAt) {
 		return nil
 	}
 	_, err = p.controlPlane.readTable(conn)
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -15,60 +15,61 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// cutMode is how a connection is cut.
+// cutMode is the way in which a connection is cut.
 type cutMode string
 
 const (
 	cutReset  cutMode = "reset"  // both sides see a reset
-	cutClose  cutMode = "close"  // both see an end
-	cutSilent cutMode = "silent" // nothing passes any more, until the cut is repaired: then both see a reset
-	cutLate   cutMode = "late"   // nothing passes until the cut is repaired, and then all that was held back
+	cutClose  cutMode = "close"  // both sides see an orderly close
+	cutSilent cutMode = "silent" // no bytes pass until the cut is repaired; then both sides see a reset
+	cutLate   cutMode = "late"   // no bytes pass until the cut is repaired; then the delayed bytes are passed on
 )
 
-// cut is where to cut: after a number of bytes of a call's request or response. It takes effect once.
+// cut is a planned cut after a number of bytes of a call's request or response. It takes effect once.
 type cut struct {
-	mode     cutMode
-	answer   bool
-	after    int
-	frames   int           // of the call that pass before those bytes
-	of       int           // bytes that it has in all, where struck
-	taken    atomic.Bool   // by the relay where it strikes; others may have it planned, too
-	struck   chan struct{} // closed when it strikes
-	mended   chan struct{} // closed to repair it
-	released chan struct{} // closed when all that was held back has been passed on
+	mode       cutMode
+	answer     bool          // cut the response instead of the request
+	after      int           // bytes of the message that pass before the cut
+	skipFrames int           // earlier frames of the call that pass unchanged
+	totalBytes int           // length of the message that was cut; set before applied is closed
+	claimed    atomic.Bool   // by the relay that applies the cut; other relays may have scheduled it, too
+	applied    chan struct{} // closed when the cut is applied
+	repaired   chan struct{} // closed by the test to repair the cut
+	released   chan struct{} // closed when all delayed bytes have been passed on
 }
 
 func newCut(mode cutMode, answer bool, after int) *cut {
 	return &cut{
 		mode: mode, answer: answer, after: after,
-		struck: make(chan struct{}), mended: make(chan struct{}), released: make(chan struct{}),
+		applied: make(chan struct{}), repaired: make(chan struct{}), released: make(chan struct{}),
 	}
 }
 
-// relayedMessage is a frame or an HTTP message that passes the relay, with the call that it belongs to; "": none.
+// relayedMessage is a frame or an HTTP message that passes a relay.
 type relayedMessage struct {
 	raw     []byte
-	attempt string
-	answer  bool
+	attempt string // Attempt-Id of the call that the message belongs to, or ""
+	answer  bool   // the message is (part of) a response
 }
 
-// framing finds the messages on one connection.
+// framing splits the bytes of a connection into messages.
 type framing interface {
-	// begin is for a new connection; each reads one direction's next message, in its own goroutine.
+	// begin returns the functions that read the next message of each direction of a new connection. They run on separate goroutines.
 	begin() (request, answer func(r *bufio.Reader) (relayedMessage, error))
 }
 
-// relay forwards the connections of a hop, and cuts calls at a byte.
+// relay forwards the connections of a hop, and cuts them as scheduled.
 type relay struct {
 	to, addr string
 	framing  framing
 
-	mu   sync.Mutex // guards below
-	cuts map[string]*cut
-	// change is what passes in place of an answer; nil: itself
+	mu   sync.Mutex      // guards below
+	cuts map[string]*cut // by Attempt-Id
+	// change returns the bytes that are passed on instead of a response; nil to pass on responses unchanged
 	change func(relayedMessage) []byte
 }
 
+// startRelay starts a relay to an address.
 func startRelay(t testing.TB, to string, f framing) *relay {
 	t.Helper()
 	r := &relay{to: to, framing: f, cuts: map[string]*cut{}}
@@ -76,31 +77,32 @@
 	return r
 }
 
-// plan plans a cut of a call.
-func (r *relay) plan(attempt string, c *cut) {
+// scheduleCut schedules a cut of a call.
+func (r *relay) scheduleCut(attempt string, c *cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts[attempt] = c
 }
 
-// take returns the cut that is planned for a message, if there is one, and removes it.
-func (r *relay) take(m relayedMessage) *cut {
+// claimCut returns the cut that is to be applied to a message and removes it, or returns nil if there is none.
+func (r *relay) claimCut(m relayedMessage) *cut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.cuts[m.attempt]
 	if m.attempt == "" || c == nil || c.answer != m.answer {
 		return nil
 	}
-	if c.frames--; c.frames >= 0 {
+	if c.skipFrames--; c.skipFrames >= 0 {
 		return nil
 	}
 	delete(r.cuts, m.attempt)
-	if !c.taken.CompareAndSwap(false, true) {
+	if !c.claimed.CompareAndSwap(false, true) {
 		return nil
 	}
 	return c
 }
 
+// pass forwards a connection in both directions until it ends.
 func (r *relay) pass(near net.Conn) {
 	far, err := net.Dial("tcp4", r.to)
 	if err != nil {
@@ -122,7 +124,7 @@
 	for {
 		m, err := next(in)
 		if err != nil {
-			to.Write(m.raw) // as far as it came
+			to.Write(m.raw) // the part of the message that was received
 			closeWrite(to)
 			return
 		}
@@ -133,7 +135,7 @@
 		if change != nil && m.answer {
 			raw = change(m)
 		}
-		c := r.take(m)
+		c := r.claimCut(m)
 		if c == nil {
 			if _, err := to.Write(raw); err != nil {
 				resetConn(from)
@@ -141,9 +143,9 @@
 			}
 			continue
 		}
-		c.of = len(raw)
+		c.totalBytes = len(raw)
 		n := min(c.after, len(raw))
-		close(c.struck)
+		close(c.applied)
 		to.Write(raw[:n])
 		switch c.mode {
 		case cutReset:
@@ -155,12 +157,12 @@
 			to.Close()
 			return
 		case cutSilent:
-			<-c.mended
+			<-c.repaired
 			resetConn(from)
 			resetConn(to)
 			return
 		case cutLate:
-			<-c.mended
+			<-c.repaired
 			to.Write(raw[n:])
 			close(c.released)
 		}
@@ -180,12 +182,12 @@
 	c.Close()
 }
 
-// upstreamFraming is the framing between sidecars.
+// upstreamFraming is the framing of the transport between sidecars.
 type upstreamFraming struct{}
 
 func (upstreamFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
 	var mu sync.Mutex
-	names := map[uint64]string{}
+	attemptIDs := map[uint64]string{}
 	frame := func(r *bufio.Reader) ([]byte, codec.Message, error) {
 		var head [4]byte
 		if n, err := io.ReadFull(r, head[:]); err != nil {
@@ -206,10 +208,10 @@
 		defer mu.Unlock()
 		switch v := m.Value.(type) {
 		case *wire.RequestT:
-			names[v.Id] = v.AttemptId
+			attemptIDs[v.Id] = v.AttemptId
 			p.attempt = v.AttemptId
 		case *wire.BodyChunkT:
-			p.attempt = names[v.Id]
+			p.attempt = attemptIDs[v.Id]
 		}
 		return p, err
 	}
@@ -220,9 +222,9 @@
 		defer mu.Unlock()
 		switch v := m.Value.(type) {
 		case *wire.ResponseT:
-			p.attempt = names[v.Id]
+			p.attempt = attemptIDs[v.Id]
 		case *wire.BodyChunkT:
-			p.attempt = names[v.Id]
+			p.attempt = attemptIDs[v.Id]
 		}
 		return p, err
 	}
@@ -269,7 +271,7 @@
 		if err == nil {
 			select {
 			case p.attempt = <-waiting:
-			default: // nobody asked for it
+			default: // a response without a request
 			}
 		}
 		return p, err
@@ -277,7 +279,7 @@
 	return request, answer
 }
 
-// byteReader reads a byte at a time, so that a reader over it reads nothing ahead of what it needs.
+// byteReader reads one byte at a time, so that a buffered reader on top of it does not read ahead.
 type byteReader struct{ r io.Reader }
 
 func (b byteReader) Read(p []byte) (int, error) { return b.r.Read(p[:min(1, len(p))]) }
--- a/internal/mesh/sidecar/request_metrics.go
+++ b/internal/mesh/sidecar/request_metrics.go
@@ -6,7 +6,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// requestKind classifies requests by how often they may run. It is an index of requestKindNames.
+// requestKind classifies requests by whether they may be executed more than once. It is an index of requestKindNames.
 type requestKind int
 
 const (
@@ -37,8 +37,8 @@
 	m.kinds[k].Open++
 }
 
-// end counts a request that has ended with a response. The response is nil if it was streamed; truncated then says that
-// it was not completed.
+// end counts a request that has ended with a response. The response is nil if it was streamed; truncated then reports
+// whether the stream ended early.
 func (m *requestMetrics) end(k requestKind, response *wire.ResponseT, truncated bool) {
 	ending := codeAnswered
 	switch {
@@ -61,7 +61,7 @@
 	}
 }
 
-// reset sets the counts of outcomes to zero. Open requests stay counted.
+// reset sets the counts of outcomes to zero, and keeps the count of open requests.
 func (m *requestMetrics) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/sidecar/request_metrics_test.go
+++ b/internal/mesh/sidecar/request_metrics_test.go
@@ -8,7 +8,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-func TestRequestMetricsCountEnds(t *testing.T) {
+// Each ending of a request is counted as one outcome, and a reset keeps the open requests.
+func TestRequestMetricsByOutcome(t *testing.T) {
 	type counts struct{ answered, rejected, broken uint64 }
 	for _, c := range []struct {
 		name      string
--- a/internal/mesh/sidecar/service.go
+++ b/internal/mesh/sidecar/service.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// policyRetryWindow is the time that policies' retry ratios are counted over.
+	// policyRetryWindow is the time window over which the retry ratio of a policy is measured.
 	policyRetryWindow = 10 * time.Second
-	// maxPolicyBudgets bounds the routes whose retries are counted for their policies. Beyond it all counts begin anew.
+	// maxPolicyBudgets bounds the number of routes with a retry budget of their policy. When it is exceeded, all of these
+	// budgets are reset.
 	maxPolicyBudgets = 4096
-	// sendingShare is the part of the sidecars that are assumed to send to a service at a time: each takes its share of
-	// the limits as if only these did.
-	sendingShare = 0.5
+	// sendingSidecarShare is the assumed fraction of sidecars that send to a service at the same time. Each sidecar
+	// computes its part of a service's limits as if only that fraction sent.
+	sendingSidecarShare = 0.5
 )
 
 // service is the pool of one service, with its retry budgets.
@@ -26,17 +27,17 @@
 	name   string
 	pool   *pool.Pool
 	source *directorySource
-	// Guarded by servicePools.mu; as the decision module has them.
+	// Guarded by servicePools.mu; the values last passed to the decision module.
 	classes  map[string]balancer.Class
 	position fleetPosition
 
 	mu            sync.Mutex // guards below
 	retryBudget   *retrybudget.Budget
-	policyBudgets map[string]*retrybudget.Budget // by route, of those whose policy limits retries
+	policyBudgets map[string]*retrybudget.Budget // by route name; only routes whose policy limits retries
 }
 
-// updateClasses passes the classes of new or changed routes to the decision module. The engine runs until the process
-// ends, so the goroutine ends as soon as the engine has taken them.
+// updateClasses passes the classes of new or changed routes to the decision module. The goroutine ends as soon as the
+// engine has received them, since the engine runs until the process ends. The caller holds servicePools.mu.
 func (s *service) updateClasses(routes []*routing.Route) {
 	var changed []balancer.Class
 	for _, class := range moduleClasses(s.name, routes) {
@@ -50,8 +51,8 @@
 	}
 }
 
-// refresh applies a change of the directory: the limits of the retry budget, this sidecar's position, and the list of
-// servers.
+// refresh applies a change of the directory to the limits of the retry budget, this sidecar's position among all
+// sidecars, and the list of servers. The caller holds servicePools.mu.
 func (s *service) refresh(limits retrybudget.Limits, position fleetPosition) {
 	s.mu.Lock()
 	s.retryBudget.SetLimits(limits)
@@ -61,19 +62,19 @@
 		go s.pool.Engine().Notify(balancer.Fleet{
 			Balancers:   position.sidecars,
 			Index:       position.index,
-			Divisor:     max(1, float64(position.sidecars)*sendingShare),
+			Divisor:     max(1, float64(position.sidecars)*sendingSidecarShare),
 			Whole:       true,
 			ServerCalls: position.serverCapacity,
 		})
 	}
 	select {
 	case s.source.changed <- struct{}{}:
-	default: // a change that the source has not seen yet covers this one
+	default: // the pending notification covers this change
 	}
 }
 
-// admitAttempt counts an attempt that is about to be sent; attempts of a request are counted from 0. It returns false
-// if the retry budget of the service or of the policy does not allow it. A first attempt is always allowed.
+// admitAttempt records an attempt that is about to be sent; attempts of a request are numbered from 0. It returns false
+// if the retry budget of the service or of the policy does not allow the attempt. Attempt 0 is always allowed.
 func (s *service) admitAttempt(now time.Duration, attempt int, routed *routedRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +89,8 @@
 	return (policyBudget == nil || policyBudget.AllowRetry(now)) && s.retryBudget.AllowRetry(now)
 }
 
-// policyBudget returns the retry budget of a request's policy, or nil if the policy bounds no retries. The caller holds
-// mu.
+// policyBudget returns the retry budget of a request's policy, or nil if no policy applies or the policy does not limit
+// the retry ratio. The caller holds mu.
 func (s *service) policyBudget(routed *routedRequest) *retrybudget.Budget {
 	if routed.policy == nil || math.IsInf(routed.policy.RetryRatio, 1) {
 		return nil
--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// moduleTick is the interval at which the decision module is told the time.
-	moduleTick = 20 * time.Millisecond
-	// maxModuleRetryAfter is the longest wait that the decision module asks of a rejected caller.
+	// moduleTickInterval is the interval of the decision module's timer events.
+	moduleTickInterval = 20 * time.Millisecond
+	// maxModuleRetryAfter is the longest Retry-After that the decision module returns with a rejection.
 	maxModuleRetryAfter = 500 * time.Millisecond
-	// maxModuleAttempts bounds the attempts that the decision module makes of one request. Routes and policies allow
-	// fewer (routedRequest.allowsAttempt).
+	// maxModuleAttempts bounds the attempts that the decision module makes for one request. Routes and policies set
+	// lower limits, which routedRequest.allowsAttempt enforces.
 	maxModuleAttempts = 8
-	// warmupPeriod is the slow start of a server, unless its heartbeats report a longer one, and warmupStartWeight the
-	// share that it begins with.
+	// warmupPeriod is the duration of a server's slow start, unless its heartbeats report a longer one.
+	// warmupStartWeight is the fraction of its full load that the server gets at the beginning.
 	warmupPeriod      = 3 * time.Second
 	warmupStartWeight = 0.5
-	// moduleWholeWeight and moduleClassWeight are the weights in load shedding of the total worth and of the class that
-	// is served worst.
-	moduleWholeWeight = 0.5
+	// moduleTotalWeight and moduleClassWeight are the weights, in load shedding, of the total value of served requests
+	// and of the class that is served worst.
+	moduleTotalWeight = 0.5
 	moduleClassWeight = 0.1
-	// retryBudgetShare is the part of the configured ratio and minimum that sidecars use. The rest is for the calls that
-	// servers make again when a request is retried, and for sidecars that have restarted and forgotten what they used.
+	// retryBudgetShare is the fraction of the configured retry ratio and minimum that sidecars use. The rest is reserved
+	// for the downstream calls that servers repeat when a request is retried, and for restarted sidecars, which no longer
+	// know how much of their budget they had used.
 	retryBudgetShare = 0.5
-	// minSidecars is the smallest number of sidecars that the minimum of retries is divided by.
+	// minSidecars is a lower bound of the number of sidecars by which the minimum of retries is divided.
 	minSidecars = 8
-	// callsPerSlot is how many calls per slot of a server all sidecars together send before they hold any back. It is
-	// more than one because sidecars do not all send the same load, and because a call that waits briefly at the server
-	// is served sooner than a rejected one.
+	// callsPerSlot is the number of concurrent calls per server slot that all sidecars together send before they queue
+	// calls themselves. It is more than one because the load is unevenly distributed over the sidecars, and because a
+	// call that waits briefly at the server is served sooner than a rejected one.
 	callsPerSlot = 2
 )
 
-// servicePools holds the services that routes send to, each with its own engine and decision module. A service that
-// no route names any more stays, since requests that began with an older routing table may still use it.
+// servicePools owns the services that routes send to, each with its own engine and decision module. A service that
+// routes no longer name is kept, since requests that began with an older routing table may still use it.
 type servicePools struct {
 	env         *environment
 	directory   *directoryView
@@ -51,7 +52,7 @@
 	budgets     *resourceBudgets
 	byName      atomic.Pointer[map[string]*service] // a snapshot, replaced as a whole
 
-	mu sync.Mutex // guards changes of byName, and the fields of services that say so
+	mu sync.Mutex // guards changes of byName, and the fields of service that are marked so
 }
 
 func newServicePools(
@@ -68,10 +69,10 @@
 	return p
 }
 
-// get returns the service of a name, or nil if no route sends to it.
+// get returns the service with a name, or nil if no route has ever sent to it.
 func (p *servicePools) get(name string) *service { return (*p.byName.Load())[name] }
 
-// applyRouting opens a pool for each new service of a routing table, and updates the classes of the others. The
+// applyRouting opens a pool for each new service of a routing table, and updates the classes of existing services. The
 // caller holds the configuration's lock.
 func (p *servicePools) applyRouting(table *routing.Table) {
 	p.mu.Lock()
@@ -122,7 +123,7 @@
 		Pushed:   true,
 		Shares:   p.budgets.poolShares(),
 	})
-	if err != nil { // the items were checked, so this is a fault of the program
+	if err != nil { // the items were validated, so this is a bug
 		p.env.log.Error().Err(err).Str("service", name).Msg("pool can't be made")
 		panic(err)
 	}
@@ -130,22 +131,22 @@
 	return s
 }
 
-// moduleSettings returns the settings of a new decision module, without any classes.
+// moduleSettings returns the settings of a new decision module, without classes.
 func (p *servicePools) moduleSettings() balancer.Settings {
 	return balancer.Settings{
 		Balancers:     max(1, p.directory.table.Load().Len()),
 		MaxAttempts:   maxModuleAttempts,
-		Tick:          moduleTick,
+		Tick:          moduleTickInterval,
 		MaxRetryAfter: maxModuleRetryAfter,
 		MayCancel:     true,
-		WholeWeight:   moduleWholeWeight,
+		WholeWeight:   moduleTotalWeight,
 		ClassWeight:   moduleClassWeight,
 		ColdFrom:      warmupStartWeight,
 		WarmAfter:     warmupPeriod,
 	}
 }
 
-// retryLimits returns this sidecar's part of the retry budget.
+// retryLimits returns this sidecar's share of the retry budget of a service.
 func (p *servicePools) retryLimits() retrybudget.Limits {
 	bounds := p.env.settings.Load().Bounds
 	sidecars := max(minSidecars, p.directory.table.Load().Len())
@@ -166,7 +167,7 @@
 	}
 }
 
-// abandonWaiting answers the requests that no server has at the moment, because the sidecar is about to end.
+// abandonWaiting answers the requests that are waiting for a server, because the sidecar is about to end.
 func (p *servicePools) abandonWaiting() {
 	for _, s := range *p.byName.Load() {
 		s.pool.Engine().AbandonWaiting()
@@ -175,9 +176,9 @@
 
 // fleetPosition is this sidecar's position among the sidecars that send to a service.
 type fleetPosition struct {
-	sidecars       int     // known ones, at least 1
-	index          int     // of this sidecar among them, by address
-	serverCapacity float64 // calls that a server takes at once, from all sidecars together; 0 if no server is known
+	sidecars       int     // number of sidecars in the directory, at least 1
+	index          int     // of this sidecar in the directory, ordered by address
+	serverCapacity float64 // mean number of concurrent calls per server from all sidecars together; 0 without servers
 }
 
 // positionFor returns this sidecar's position for a service, from the directory.
--- a/internal/mesh/sidecar/shutdown_waiting_test.go
+++ b/internal/mesh/sidecar/shutdown_waiting_test.go
@@ -11,9 +11,10 @@
 	"cranegrade/internal/testkit"
 )
 
-// A sidecar shuts down while a call waits, since there is no server for it. The call was read, and its connection ended with the process, without an
-// answer, though it had not run anywhere: TestSoak, in eight of 25 seeds with nothing but planned work, saw calls on open connections end like that 0.76 to 1.27 s
-// after their last byte, while the servers of their service were being replaced. It is answered 503, with a time to come back.
+// A sidecar shuts down while a call waits because its service has no server. The call must be answered with a 503 and a Retry-After. In the fault
+// that this test guards against, the connection ended with the process without a response, although the call had not run anywhere: in 8 of 25 seeds
+// of TestSoak with only planned work, calls on open connections ended like that 0.76 to 1.27 s after their last byte, while the servers of their
+// service were being replaced.
 func TestShutdownAnswersWaitingCalls(t *testing.T) {
 	x := startCallChain(t, 1)
 	changed := *x.near.env.settings.Load()
@@ -22,7 +23,7 @@
 	x.far[0].localServer.deregister(x.fakeServers[0].id)
 	engine := x.near.pools.get("stock").pool.Engine()
 	var caller *callerConn
-	await(t, func() bool { // until the caller's sidecar knows that there is no server
+	await(t, func() bool { // until the caller's sidecar has removed the server from its list
 		caller = x.dial()
 		caller.write(newAttemptID(), onceCall, testkit.Limit)
 		await(t, func() bool { return engine.OpenCalls() > 0 || caller.hasAnswer() })
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -16,8 +16,9 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// shutdownSlack is the part of the grace period that is kept for the end itself.
-const shutdownSlack = 700 * time.Millisecond
+// shutdownReserve is the part of the grace period that is reserved for closing connections and listeners after
+// requests have been finished.
+const shutdownReserve = 700 * time.Millisecond
 
 // Sidecar is one sidecar. New and Run are each called once.
 type Sidecar struct {
@@ -42,13 +43,13 @@
 	localAPIListener  net.Listener
 	httpServers       []*http.Server
 
-	// background is the goroutines whose end Run waits for. Not in it are those of connections, which end with their
+	// background counts the goroutines that Run waits for. It excludes those of connections, which end with their
 	// connection, and that of the inbound listener, which stays open until the process ends.
 	background sync.WaitGroup
 }
 
-// New opens the listeners for other sidecars, the readiness check and the local server's calls. An error names the
-// setting of the listener that can't be opened. Run opens the listener for callers.
+// New opens the listeners for other sidecars, for readiness checks and for the local server's API calls. If a listener
+// can't be opened, the error names its setting. Run opens the listener for callers.
 func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (*Sidecar, error) {
 	s := assemble(set, log, ring)
 	for _, l := range []struct {
@@ -69,7 +70,7 @@
 	return s, nil
 }
 
-// assemble makes all parts of a sidecar, without any listeners.
+// assemble creates all components of a sidecar, without any listeners.
 func assemble(set settings.Settings, log zerolog.Logger, ring *logring.Ring) *Sidecar {
 	env := newEnvironment(set, log)
 	s := &Sidecar{
@@ -95,11 +96,11 @@
 		Protocol:          serverProtocol{},
 		ReadTimeout:       time.Hour,
 	}))
-	s.connectParts()
+	s.connectComponents()
 	return s
 }
 
-// assembleInbound makes the parts that run requests at the local server.
+// assembleInbound creates the components that run requests at the local server.
 func (s *Sidecar) assembleInbound(ring *logring.Ring, toServer *sender.Sender) {
 	responses := newResponseStore()
 	s.inbound = &inboundServer{
@@ -123,8 +124,8 @@
 	s.inbound.localServer = s.localServer
 }
 
-// connectParts gives each part references to the parts that it notifies of changes.
-func (s *Sidecar) connectParts() {
+// connectComponents gives each component references to the components that it notifies of changes.
+func (s *Sidecar) connectComponents() {
 	s.directory.pools = s.pools
 	s.directory.localServer = s.localServer
 	s.maintenance.pools = s.pools
@@ -136,17 +137,17 @@
 	s.controlPlane.directory = s.directory
 	s.controlPlane.maintenance = s.maintenance
 	s.controlPlane.localServer = s.localServer
-	s.controlPlane.onConfirmed = s.configConfirmed
+	s.controlPlane.onConfirmed = s.configurationConfirmed
 }
 
-// Addr returns the address of the inbound listener, by which the other sidecars name this one.
+// Addr returns the address of the inbound listener, which identifies this sidecar to the others.
 func (s *Sidecar) Addr() string { return s.env.addr() }
 
 // Reload applies a changed settings file. Any goroutine may call it.
 func (s *Sidecar) Reload(set settings.Settings) {
 	previous := s.env.settings.Swap(&set)
 	if previous.Service != set.Service {
-		s.configuration.callerChanged()
+		s.configuration.callingServiceChanged()
 	}
 }
 
@@ -177,10 +178,10 @@
 	}
 	s.background.Go(func() { serveUntilClosed(readinessServer, s.readinessListener) })
 	s.background.Go(func() { serveUntilClosed(localAPIServer, s.localAPIListener) })
-	go s.inbound.acceptConns(s.inboundListener) //nolint:contextcheck // what it starts lasts as long as the sidecar
+	go s.inbound.acceptConns(s.inboundListener) //nolint:contextcheck // the connections last as long as the sidecar
 	s.startControl()
 	<-ctx.Done()
-	s.shutdown() //nolint:contextcheck // it begins when ctx has ended
+	s.shutdown() //nolint:contextcheck // the shutdown begins when ctx has ended
 	return nil
 }
 
@@ -196,9 +197,10 @@
 	s.background.Go(s.localServer.watch)
 }
 
-// configConfirmed is called each time that the configuration was found to be no older than what was acknowledged. It
-// runs on a goroutine that controlPlaneConn.run waits for, so that background is not empty meanwhile.
-func (s *Sidecar) configConfirmed() {
+// configurationConfirmed is called each time that a linearizable read has confirmed the configuration. The first time
+// marks the sidecar as configured and starts the health probe of the local server. It runs on a goroutine that
+// controlPlaneConn.run waits for, so background is not empty when it adds the probe.
+func (s *Sidecar) configurationConfirmed() {
 	if !s.readiness.configured.CompareAndSwap(false, true) {
 		return
 	}
@@ -208,21 +210,21 @@
 	}
 }
 
-// shutdown lets callers move to other sidecars, then finishes open requests within the rest of the grace period, and
-// closes everything.
+// shutdown asks callers to move to other sidecars, then finishes open requests within the rest of the grace period,
+// and closes all connections and API servers.
 func (s *Sidecar) shutdown() {
 	began := time.Now()
 	grace := s.env.settings.Load().Bounds.GraceS.Duration()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(max(grace-shutdownSlack, grace/2)))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(max(grace-shutdownReserve, grace/2)))
 	defer cancel()
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
 	s.readiness.stopping.Store(true)
 	s.drainCallers(began, min(connectionDrainTime, grace/2), ticker.C)
-	// The local server serves other sidecars until now, so that few servers are missing at a time during a rolling
-	// restart.
+	// The local server has accepted requests of other sidecars until now, so that few servers are unavailable at the
+	// same time during a rolling restart.
 	s.localServer.leave()
-	<-ticker.C // the others learn that this sidecar leaves before it rejects what they send
+	<-ticker.C // other sidecars learn that this one is leaving before it rejects their requests
 	s.inbound.draining.Store(true)
 	s.finishRequests(ctx, ticker.C)
 	s.inbound.finishConns(ctx)
@@ -233,7 +235,8 @@
 	}
 }
 
-// drainCallers asks callers to close their connections, for a time from began on, and closes idle ones after a while.
+// drainCallers asks callers to close their connections until drainTime has passed since began, and closes idle
+// connections after idleDrainDelay.
 func (s *Sidecar) drainCallers(began time.Time, drainTime time.Duration, tick <-chan time.Time) {
 	s.outbound.drain(true)
 	for time.Since(began) < drainTime {
@@ -244,7 +247,7 @@
 	}
 }
 
-// finishRequests waits until callers and other sidecars have their responses, or until ctx ends.
+// finishRequests waits until callers and other sidecars have received their responses, or until ctx ends.
 func (s *Sidecar) finishRequests(ctx context.Context, tick <-chan time.Time) {
 	s.outbound.finish(ctx, tick, s.pools.abandonWaiting)
 	for s.inbound.openRequests.Load() > 0 && ctx.Err() == nil {
--- a/internal/mesh/sidecar/status.go
+++ b/internal/mesh/sidecar/status.go
@@ -7,7 +7,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// status returns the status of this sidecar, for calls of operators and of the control plane.
+// status returns the status of this sidecar, which operators and the control plane request.
 func (s *Sidecar) status() *wire.StatusT {
 	set := s.env.settings.Load()
 	items := s.configuration.currentItems()
@@ -28,7 +28,7 @@
 		ServerState:       byte(local.record.State),
 		ServerStateReason: local.outReason,
 		OpenRequests:      s.inbound.openRequests.Load(),
-		MaintenanceIndex:  s.maintenance.orders.Load().Index,
+		MaintenanceIndex:  s.maintenance.machines.Load().Index,
 		UpstreamAddrs:     s.upstreams.activeAddrs(),
 		CommittedPolicy:   policies.Received,
 		ActivePolicy:      policies.Active,
@@ -39,7 +39,7 @@
 		Work:              s.inbound.metrics.snapshot(),
 	}
 	out.DownstreamRequests, _ = s.pools.budgets.calls.Used()
-	if order := s.maintenance.handedOverFor.Load(); order != nil {
+	if order := s.maintenance.handedOverOrder.Load(); order != nil {
 		out.HandedOverOrder = *order
 	}
 	if conn := s.controlPlane.current(); conn != nil {
--- a/internal/mesh/sidecar/time_budget_test.go
+++ b/internal/mesh/sidecar/time_budget_test.go
@@ -12,7 +12,7 @@
 	"cranegrade/internal/testkit"
 )
 
-// budget returns the Time-Budget of the request, and fails the test if it has not exactly one.
+// budget returns the Time-Budget of the request, and fails the test unless there is exactly one.
 func (a *arrival) budget(t testing.TB) time.Duration {
 	t.Helper()
 	values := a.request.Header[headerTimeBudget]
@@ -22,10 +22,10 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// Each request carries one Time-Budget to its server, never longer than the caller's or the route's time, whatever its kind and whether the
-// caller named any.
+// Each request carries exactly one Time-Budget to its server, whatever its kind and whether or not the caller sent one. It is never longer than the
+// caller's time budget or the route's timeout.
 func TestTimeBudgetOnEveryRequest(t *testing.T) {
-	const routeTimeout = 20 * time.Second // of the chain's routes
+	const routeTimeout = 20 * time.Second // of the routes in startCallChain
 	x := startCallChain(t, 1)
 	arrivals := make(chan *arrival, maxScriptedArrivals)
 	x.attachServer(0, func(a *arrival) bool {
@@ -35,9 +35,9 @@
 		return true
 	})
 	for _, kind := range []kindOfCall{onceCall, keyedCall, repeatableCall} {
-		for _, how := range []string{"plain", "upload"} {
+		for _, behavior := range []string{"plain", "upload"} {
 			for _, budget := range []time.Duration{0, testkit.Limit / 2, 2 * routeTimeout} {
-				await(t, func() bool { return x.callWithBudget(kind, how, budget) == 200 })
+				await(t, func() bool { return x.callWithBudget(kind, behavior, budget) == 200 })
 				limit := routeTimeout
 				if budget > 0 {
 					limit = min(limit, budget)
@@ -46,20 +46,20 @@
 				for len(arrivals) > 0 {
 					got = (<-arrivals).budget(t)
 				}
-				assert.Assert(t, got > 0 && got <= limit, "%s %s with %v: the server was given %v", kind, how, budget, got)
+				assert.Assert(t, got > 0 && got <= limit, "%s %s with %v: the server received a time budget of %v", kind, behavior, budget, got)
 			}
 		}
 	}
 }
 
-// callWithBudget makes a call with a Time-Budget, or without any for 0, and returns the status of its answer.
-func (x *callChain) callWithBudget(kind kindOfCall, how string, budget time.Duration) (status int) {
+// callWithBudget makes a call with a Time-Budget, or without one if budget is 0, and returns the status of its response.
+func (x *callChain) callWithBudget(kind kindOfCall, behavior string, budget time.Duration) (status int) {
 	x.t.Helper()
 	attempt, key := newAttemptID(), ""
 	if kind == keyedCall {
 		key = "k-" + attempt
 	}
-	text := requestText(attempt, kind, how, key, budget)
+	text := requestText(attempt, kind, behavior, key, budget)
 	if budget == 0 {
 		text = withoutHeader(text, headerTimeBudget)
 	}
@@ -71,18 +71,18 @@
 	return caller.readAnswer().Status
 }
 
-// withoutHeader returns a request without a header that it has once.
+// withoutHeader removes a header field that a request contains once.
 func withoutHeader(request, name string) string {
 	before, after, _ := strings.Cut(request, name+": ")
 	_, after, _ = strings.Cut(after, "\r\n")
 	return before + after
 }
 
-// A retry has the time that the first attempt has left: it ends by the first one's end, and so by the caller's.
-func TestRetryHasTheRemainingTime(t *testing.T) {
+// The time budget of a retry is what the first attempt has left of its own, so that the retry stays within the caller's time budget.
+func TestRetryGetsRemainingTimeBudget(t *testing.T) {
 	const (
-		budget      = testkit.Limit / 2
-		firstLasted = 700 * time.Millisecond
+		budget        = testkit.Limit / 2
+		firstDuration = 700 * time.Millisecond
 	)
 	x := startCallChain(t, 2)
 	arrivals := make(chan *arrival, maxScriptedArrivals)
@@ -90,8 +90,8 @@
 		x.attachServer(n, func(a *arrival) bool {
 			a.readBody()
 			arrivals <- a
-			if len(arrivals) == 1 { // the first attempt breaks off after a while
-				time.Sleep(firstLasted)
+			if len(arrivals) == 1 { // the first attempt: the connection ends after firstDuration
+				time.Sleep(firstDuration)
 				return false
 			}
 			a.succeed()
@@ -100,6 +100,6 @@
 	}
 	assert.Equal(t, x.call(repeatableCall, "plain", "", budget).Status, 200)
 	first, retry := (<-arrivals).budget(t), (<-arrivals).budget(t)
-	assert.Assert(t, first > budget/2 && first <= budget, "the first attempt was given %v", first)
-	assert.Assert(t, retry <= budget-firstLasted, "the retry was given %v, %v after the first attempt's %v", retry, firstLasted, first)
+	assert.Assert(t, first > budget/2 && first <= budget, "the first attempt had a time budget of %v", first)
+	assert.Assert(t, retry <= budget-firstDuration, "the retry had a time budget of %v, %v after the first attempt with %v", retry, firstDuration, first)
 }
--- a/internal/mesh/sidecar/upstream.go
+++ b/internal/mesh/sidecar/upstream.go
@@ -13,26 +13,26 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// upstreamDialBackoff is the pause between dials of an address that can't be reached.
+// upstreamDialBackoff is the pause after a failed dial before the address is dialed again.
 const upstreamDialBackoff = 250 * time.Millisecond
 
-// errUpstreamUnreachable is the error of a connection that could not be made, now or within upstreamDialBackoff.
-const errUpstreamUnreachable = errors.ConstError("the sidecar can't be reached")
+// errUpstreamUnreachable is returned if a dial fails, or if one failed less than upstreamDialBackoff ago.
+const errUpstreamUnreachable = errors.ConstError("upstream sidecar is unreachable")
 
-// upstream is the connection to another sidecar, which is dialed when it is needed, with its open attempts.
+// upstream is the connection to another sidecar, dialed on demand, with the attempts that are open on it.
 type upstream struct {
 	env  *environment
 	addr string
 
 	mu       sync.Mutex                  // guards below
-	conn     *transport.Conn             // may have ended; nil before the first dial has succeeded
-	dialing  chan struct{}               // closed when the dial in progress has ended; nil if there is none
-	retryAt  time.Time                   // no dial is begun before
-	attempts map[uint64]*upstreamAttempt // open ones, by stream ID
+	conn     *transport.Conn             // may be closed already; nil until a dial has succeeded
+	dialing  chan struct{}               // closed when the dial in progress has ended; nil if there is no dial
+	redialAt time.Time                   // after a failed dial, the earliest time of the next one
+	attempts map[uint64]*upstreamAttempt // open attempts by stream ID
 }
 
-// connect returns the connection, and dials it if there is none. Any number of goroutines may wait for one dial. The
-// error is errUpstreamUnreachable or that of ctx; nothing was sent in either case.
+// connect returns the connection, and dials if there is none. Any number of goroutines may wait for the same dial. The
+// error is errUpstreamUnreachable or that of ctx; in either case nothing was sent.
 func (u *upstream) connect(ctx context.Context) (*transport.Conn, error) {
 	for {
 		conn, dialed, err := u.connOrDial()
@@ -51,7 +51,7 @@
 }
 
 // connOrDial returns the live connection, or a channel that is closed when the dial in progress has ended. It begins a
-// dial if there is none, but returns errUpstreamUnreachable shortly after one has failed.
+// dial if there is none, but returns errUpstreamUnreachable within upstreamDialBackoff after a failed dial.
 func (u *upstream) connOrDial() (conn *transport.Conn, dialed <-chan struct{}, err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -59,7 +59,7 @@
 		return u.conn, nil, nil
 	}
 	if u.dialing == nil {
-		if time.Now().Before(u.retryAt) {
+		if time.Now().Before(u.redialAt) {
 			return nil, nil, errUpstreamUnreachable
 		}
 		u.dialing = make(chan struct{})
@@ -75,14 +75,14 @@
 	return u.conn != nil && u.conn.Err() == nil
 }
 
-// dial makes a connection and reads it until it ends. It runs on a goroutine of its own.
+// dial opens a connection, and starts to receive from it. It runs on its own goroutine.
 func (u *upstream) dial() {
 	conn, err := transport.Dial(u.env.ctx, u.addr, u.env.hello(), nil)
 	u.mu.Lock()
 	if err == nil {
 		u.conn = conn
 	} else {
-		u.retryAt = time.Now().Add(upstreamDialBackoff)
+		u.redialAt = time.Now().Add(upstreamDialBackoff)
 	}
 	close(u.dialing)
 	u.dialing = nil
@@ -99,7 +99,7 @@
 	return len(u.attempts) > 0
 }
 
-// closeIfIdle closes the connection unless attempts are open or it is being dialed. It reports whether the upstream
+// closeIfIdle closes the connection unless attempts are open or a dial is in progress. It reports whether the upstream
 // is idle.
 func (u *upstream) closeIfIdle() bool {
 	u.mu.Lock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// add records an attempt that is about to be sent. It returns false if the connection has ended or the stream ID is
+// add registers an attempt that is about to be sent. It returns false if the connection has ended or the stream ID is
 // in use.
 func (u *upstream) add(a *upstreamAttempt) bool {
 	u.mu.Lock()
@@ -135,7 +135,7 @@
 	return true
 }
 
-// remove forgets an attempt that has ended.
+// remove unregisters an attempt that has ended.
 func (u *upstream) remove(a *upstreamAttempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -143,7 +143,7 @@
 	a.conn.AddPending(-1)
 }
 
-// find returns the attempt that is open on a connection with a stream ID, or nil if there is none.
+// find returns the open attempt with a stream ID on a connection, or nil if there is none.
 func (u *upstream) find(conn *transport.Conn, id uint64) *upstreamAttempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// openOn returns the attempts that are open on a connection.
-func (u *upstream) openOn(conn *transport.Conn) (open []*upstreamAttempt) {
+// attemptsOn returns the attempts that are open on a connection.
+func (u *upstream) attemptsOn(conn *transport.Conn) (open []*upstreamAttempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, a := range u.attempts {
@@ -165,8 +165,8 @@
 	return open
 }
 
-// receive handles messages until the connection ends. The attempts that are then open on it may have run, so they end
-// as broken.
+// receive handles messages until the connection ends. The requests of attempts that are still open then may have run, so
+// these attempts end as broken.
 func (u *upstream) receive(conn *transport.Conn) {
 	for {
 		message, err := conn.Receive()
@@ -175,12 +175,12 @@
 		}
 		u.handleMessage(conn, message)
 	}
-	for _, a := range u.openOn(conn) {
+	for _, a := range u.attemptsOn(conn) {
 		a.finish(balancer.Broken, nil)
 	}
 }
 
-// handleMessage handles one message of the peer. What belongs to an attempt that has ended is dropped.
+// handleMessage handles one message of the peer. Messages for an attempt that has ended are dropped.
 func (u *upstream) handleMessage(conn *transport.Conn, received codec.Message) {
 	switch message := received.Value.(type) {
 	case *wire.ResponseT:
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -12,27 +12,27 @@
 	"cranegrade/internal/message"
 )
 
-// upstreamAttempt is an attempt, which is a stream on the connection of an upstream. It ends once: by its response,
-// by the end of the connection or by its time-out.
+// upstreamAttempt is an attempt to run a request at another sidecar: a stream on the connection of an upstream. It ends
+// once: by its response, by the end of the connection or by its timeout.
 type upstreamAttempt struct {
 	attempt    *engine.Attempt
 	id         uint64 // of the stream
-	attemptID  string // of the request; a response with another one is not the attempt's
+	attemptID  string // of the request; a response with another Attempt-Id does not belong to this attempt
 	conn       *transport.Conn
 	sendWindow flowWindow    // for the request's body
-	done       chan struct{} // closed with the attempt's end
-	ruleTrace  string        // value of headerRuleTrace in a streamed response; empty if it has none
+	done       chan struct{} // closed when the attempt ends
+	ruleTrace  string        // value of headerRuleTrace in a streamed response; empty for no such header
 
-	mu             sync.Mutex      // guards below, since both the connection's reader and the time-out may end the attempt
-	responseStream *message.Stream // of a streamed response
+	mu             sync.Mutex      // guards below, since both the connection's reader and the timeout may end the attempt
+	responseStream *message.Stream // nil until a streamed response begins
 	finished       bool
 	keyNotGranted  bool // the control plane did not grant the key
 	ending         balancer.Ending
 	reply          *message.Reply
 }
 
-// finish ends the attempt. Only the first call counts. A streamed response is complete if the ending is a success, and
-// otherwise truncated.
+// finish ends the attempt. Only the first call has an effect. A streamed response ends as complete if the ending is a
+// success, and otherwise as truncated.
 func (a *upstreamAttempt) finish(ending balancer.Ending, reply *message.Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,8 +53,8 @@
 	close(a.done)
 }
 
-// handleResponse handles a response. If its header can't be decoded, or if it names another request, the attempt is
-// broken.
+// handleResponse handles a response. The attempt ends as broken if the header of the response can't be decoded, or if
+// it has the Attempt-Id of another request.
 func (a *upstreamAttempt) handleResponse(response *wire.ResponseT) {
 	if len(response.PackedHeader) > 0 {
 		fields, err := codec.UnpackHeader(response.PackedHeader)
@@ -73,19 +73,19 @@
 	a.applyResponse(response)
 }
 
-// applyResponse ends the attempt with a response, or begins to stream it.
+// applyResponse ends the attempt with a response, or begins to stream the response if more of its body follows.
 func (a *upstreamAttempt) applyResponse(response *wire.ResponseT) {
 	if response.Ending == codeKeyNotGranted {
 		a.mu.Lock()
-		if !a.finished { // otherwise the attempt may be reading keyNotGranted without the lock
+		if !a.finished { // otherwise wait may be reading keyNotGranted without the lock
 			a.keyNotGranted = true
 		}
 		a.mu.Unlock()
 		a.finish(balancer.NeverSent, nil)
 		return
 	}
-	ending, known := endingsByCode[response.Ending]
-	if !known {
+	ending, isKnownCode := endingsByCode[response.Ending]
+	if !isKnownCode {
 		ending = balancer.Broken
 	}
 	if response.MoreBody && ending == balancer.Success {
@@ -101,8 +101,9 @@
 	a.finish(ending, reply)
 }
 
-// beginStream begins a streamed response, unless the attempt has ended meanwhile. It holds mu so that the engine is
-// told of the beginning before the end. A response that begins twice is broken.
+// beginStream begins a streamed response, unless the attempt has ended meanwhile. It holds mu while it notifies the
+// engine, so that the engine sees the start of the response before the end of the attempt. If a response begins twice,
+// the attempt ends as broken.
 func (a *upstreamAttempt) beginStream(head *wire.ResponseT) {
 	stream := a.newStream(head)
 	a.mu.Lock()
@@ -121,9 +122,9 @@
 	a.attempt.ResponseStarted(stream)
 }
 
-// newStream returns the stream of a response. While the stream is read, it sends window updates to the peer.
+// newStream returns the stream of a response, which sends window updates to the peer as it is read.
 func (a *upstreamAttempt) newStream(head *wire.ResponseT) *message.Stream {
-	unreportedBytes := 0 // which were read since the last window update
+	unreportedBytes := 0 // bytes read since the last window update
 	fields := messageFields(head.HeaderFields)
 	if a.ruleTrace != "" {
 		fields = append(fields, message.Field{Name: headerRuleTrace, Value: a.ruleTrace})
@@ -159,21 +160,21 @@
 	}
 }
 
-// wait waits until the attempt ends by its response or ctx ends. A keyed or non-idempotent request goes on at the peer
-// after ctx has ended, so that its response is stored for a repeat; any other is cancelled there, and so is one with a
-// streamed body or a streamed response, which is not stored.
+// wait waits until the attempt has ended or ctx ends. When ctx ends, a keyed or non-idempotent request is left running at
+// the peer, so that its response is stored for a repeat. An idempotent request is cancelled at the peer, and so is any
+// request with a streamed body or a streamed response, because streamed responses are not stored.
 func (a *upstreamAttempt) wait(
 	ctx context.Context, request *message.Request, routed *routedRequest,
 ) (balancer.Ending, *message.Reply) {
 	select {
 	case <-a.done:
 	case <-ctx.Done():
-		a.finish(engine.EndingOf(ctx), nil) // before isStreaming: a response that begins later is cancelled by beginStream
+		a.finish(engine.EndingOf(ctx), nil) // before isStreaming, so that beginStream cancels a response that begins later
 		if request.Idempotency != message.NotIdempotent || request.BodyRest != nil || a.isStreaming() {
 			_ = a.conn.Send(&wire.CancelT{Id: a.id})
 		}
 	}
-	// The attempt has finished, after which nothing writes keyNotGranted, ending or reply, so they are read without mu.
+	// The attempt has finished. Nothing writes keyNotGranted, ending and reply any more, so they are read without mu.
 	if a.keyNotGranted {
 		routed.keyNotGranted.Store(true)
 		return balancer.NeverSent, nil
@@ -192,7 +193,7 @@
 	return a.responseStream != nil
 }
 
-// uploadBody sends the chunks of a streamed request. It ends with the attempt.
+// uploadBody sends the chunks of a streamed request body. It returns when the body or the attempt has ended.
 func (a *upstreamAttempt) uploadBody(ctx context.Context, request *message.Request) {
 	for {
 		chunk, err := request.BodyRest.Next(ctx)
--- a/internal/mesh/sidecar/upstream_attempt_test.go
+++ b/internal/mesh/sidecar/upstream_attempt_test.go
@@ -19,7 +19,7 @@
 	"cranegrade/internal/message"
 )
 
-// prefixedConn is a connection on which some bytes have already been received.
+// prefixedConn is a connection whose reads return the bytes of first before those of the connection.
 type prefixedConn struct {
 	net.Conn
 	first *bytes.Reader
@@ -44,20 +44,20 @@
 	return conn
 }
 
-// newTestAttempt returns an attempt that is open on a connection. began is called with its response streams.
+// newTestAttempt returns an attempt that is open on a connection. It calls began with each response stream that starts.
 func newTestAttempt(conn *transport.Conn, began func(*message.Stream)) *upstreamAttempt {
 	hooks := engine.Hooks{ResponseStarted: func(r engine.Reply) { began(r.(*message.Stream)) }}
 	return &upstreamAttempt{conn: conn, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, hooks)}
 }
 
-// A streamed response and the time-out of its attempt, in all orders. Every stream that begins also ends, as broken if it is not complete. No stream
-// begins after the time-out; the peer is told to stop instead.
-func TestAnswerAndTimeoutInAllOrders(t *testing.T) {
+// The frames of a streamed response and the timeout of its attempt arrive in all orders. Every stream that starts also ends, as truncated if it is not
+// complete. No stream starts after the timeout; the peer is sent a cancellation instead.
+func TestResponseAndTimeoutInAllOrders(t *testing.T) {
 	conn := newDiscardingConn(t)
 	var permute func(left, steps string)
 	permute = func(left, steps string) {
 		if left == "" {
-			checkAnswerAndTimeout(t, conn, steps)
+			checkResponseAndTimeout(t, conn, steps)
 			return
 		}
 		for i, step := range left {
@@ -67,8 +67,8 @@
 	permute("aplt", "")
 }
 
-// checkAnswerAndTimeout plays a response's head (a), a chunk (p), the last chunk (l) and the time-out (t) in an order.
-func checkAnswerAndTimeout(t *testing.T, conn *transport.Conn, steps string) {
+// checkResponseAndTimeout applies a response's head (a), a chunk (p), the last chunk (l) and the timeout (t) in the order of steps.
+func checkResponseAndTimeout(t *testing.T, conn *transport.Conn, steps string) {
 	t.Helper()
 	var stream *message.Stream
 	attempt := newTestAttempt(conn, func(s *message.Stream) { stream = s })
@@ -96,12 +96,12 @@
 		_, err := stream.Next(context.Background())
 		assert.NilError(t, err)
 	}
-	piece, err := stream.Next(context.Background()) // returns, for it has ended
-	assert.Assert(t, piece == nil && err == nil, steps)
+	chunk, err := stream.Next(context.Background()) // does not block, because the stream has ended
+	assert.Assert(t, chunk == nil && err == nil, steps)
 }
 
-// A response that begins twice is broken, and nothing is added to a response that has ended: the caller sees the end of the first.
-func TestAnswerBeginsTwice(t *testing.T) {
+// If a response starts twice, the attempt ends as broken. The first stream ends, and later chunks are not added to it.
+func TestResponseStartedTwice(t *testing.T) {
 	var streams []*message.Stream
 	attempt := newTestAttempt(newDiscardingConn(t), func(s *message.Stream) { streams = append(streams, s) })
 	attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
@@ -111,6 +111,6 @@
 	assert.Equal(t, len(streams), 1)
 	assert.Equal(t, attempt.ending, balancer.Broken)
 	assert.Assert(t, streams[0].Buffered() == 0 && streams[0].Trailer() == nil)
-	body, err := streams[0].Next(context.Background()) // returns, for it has ended
+	body, err := streams[0].Next(context.Background()) // does not block, because the stream has ended
 	assert.Assert(t, body == nil && err == nil)
 }
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -11,12 +11,12 @@
 	"cranegrade/internal/message"
 )
 
-// Start implements engine.Sender. The attempt runs on a goroutine of its own, which ends with it.
+// Start implements engine.Sender. The attempt runs on its own goroutine.
 func (u *upstreams) Start(ctx context.Context, attempt *engine.Attempt) {
 	go func() {
 		ending, reply := u.runAttempt(ctx, attempt)
 		attempt.Payload.(*message.Request).FrontData.(*routedRequest).lastEnding.Store(uint32(ending))
-		if reply == nil { // a nil *Reply in the interface would not be nil
+		if reply == nil { // a nil *message.Reply would make a non-nil interface value
 			attempt.End(ending, nil)
 			return
 		}
@@ -24,8 +24,8 @@
 	}()
 }
 
-// runAttempt makes an attempt and waits until it ends. Each ending that it returns by itself says that nothing was
-// sent; once the request has been handed to the connection, only the peer's response may say that it has not run.
+// runAttempt makes an attempt and waits until it ends. Endings that it returns itself mean that nothing was sent. Once
+// the request has been passed to the connection, only a response of the peer can establish that it has not run.
 func (u *upstreams) runAttempt(ctx context.Context, attempt *engine.Attempt) (balancer.Ending, *message.Reply) {
 	request := attempt.Payload.(*message.Request)
 	routed := request.FrontData.(*routedRequest)
@@ -41,7 +41,7 @@
 	case err != nil:
 		return balancer.NeverSent, nil
 	}
-	// Asked only now, because the call may have ended or the server begun to drain during the dial.
+	// Checked after the dial, during which the call may have ended or the server may have begun to drain.
 	if ending, ok := u.beginAttempt(attempt, routed, attemptNumber); !ok {
 		return ending, nil
 	}
@@ -62,7 +62,7 @@
 	return sent.wait(ctx, request, routed)
 }
 
-// newUpstreamAttempt returns an attempt with a stream ID of its own, whose request has not been sent yet.
+// newUpstreamAttempt returns an attempt with a new stream ID. Its request has not been sent yet.
 func (u *upstreams) newUpstreamAttempt(
 	attempt *engine.Attempt, routed *routedRequest, conn *transport.Conn,
 ) *upstreamAttempt {
@@ -78,13 +78,13 @@
 	return created
 }
 
-// beginAttempt counts an attempt, the attemptNumber-th of its request from 0. ok is false if its call has ended, its
-// server takes nothing new, or the retry budget does not allow it.
+// beginAttempt counts an attempt that is about to be sent; attempts of a request are numbered from 0. ok is false if the
+// call has ended, the server accepts no new requests, or the retry budget does not allow the attempt.
 func (u *upstreams) beginAttempt(
 	attempt *engine.Attempt, routed *routedRequest, attemptNumber int,
 ) (ending balancer.Ending, ok bool) {
-	// The count is raised before Begin, so that either whoever answers the call sees the attempt, or Begin sees that the
-	// call has ended.
+	// The count is incremented before MayWrite: either the goroutine that answers the call sees this attempt in the count,
+	// or MayWrite sees that the call has ended.
 	routed.attempts.Add(1)
 	if ending, ok := attempt.MayWrite(); !ok {
 		routed.attempts.Add(-1)
@@ -97,7 +97,7 @@
 	return 0, true
 }
 
-// newRequest returns the message of an attempt. Its header has the form that the peer's protocol version can read.
+// newRequest returns the message of an attempt. Its header is packed if the peer's protocol version supports that.
 func (u *upstreams) newRequest(
 	attempt *engine.Attempt, request *message.Request, streamID uint64, attemptNumber int,
 ) *wire.RequestT {
--- a/internal/mesh/sidecar/upstreams.go
+++ b/internal/mesh/sidecar/upstreams.go
@@ -7,8 +7,8 @@
 	"cranegrade/internal/engine"
 )
 
-// upstreams holds the connections to other sidecars, by address. It implements engine.Sender: an attempt is a stream on
-// one of them. Its methods may be called by any goroutine.
+// upstreams owns the connections to other sidecars, by address. It implements engine.Sender: an attempt is a stream on
+// one of these connections. Its methods may be called by any goroutine.
 type upstreams struct {
 	env       *environment
 	directory *directoryView
@@ -38,7 +38,7 @@
 	return connection
 }
 
-// Drop implements engine.Sender. Open attempts go on.
+// Drop implements engine.Sender. It does nothing: open attempts continue, and Sweep closes idle connections.
 func (u *upstreams) Drop(*engine.Endpoint) {}
 
 // Sweep implements engine.Sender. It closes idle connections to sidecars that are no longer in the directory.
@@ -47,7 +47,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for addr, connection := range u.byAddr {
-		if _, known := table.Get(addr); !known && connection.closeIfIdle() {
+		if _, isListed := table.Get(addr); !isListed && connection.closeIfIdle() {
 			delete(u.byAddr, addr)
 		}
 	}
@@ -65,7 +65,7 @@
 	return addrs
 }
 
-// close closes all connections. Attempts that are open on them end as broken.
+// close closes all connections. Attempts that are still open end as broken.
 func (u *upstreams) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
