--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// connectionDrainTime is how long callers are asked to close their connections before the sidecar closes any.
+	// connectionDrainTime is how long callers are asked to close their connections before the shutdown continues.
 	connectionDrainTime = 2300 * time.Millisecond
-	// idleDrainDelay is how long idle connections are left open at the beginning of connectionDrainTime.
+	// idleDrainDelay is the time after the beginning of the drain from which idle connections are closed.
 	idleDrainDelay = time.Second
 	// blockedRequestCutoff is the time before the shutdown deadline at which the sidecar abandons requests that wait for
 	// a server, and requests that block the responses to later ones on their connection.
@@ -40,7 +40,7 @@
 	readiness   *readiness
 	callerShare *pool.Share
 	front       atomic.Pointer[front.Front] // nil until open has been called
-	serving     sync.WaitGroup              // of the goroutine that accepts connections
+	serving     sync.WaitGroup              // counts the goroutine that accepts connections
 }
 
 // open opens the listener. Until the configuration is confirmed, requests are rejected with a Retry-After, which tells
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -49,7 +49,7 @@
 type relayedMessage struct {
 	raw     []byte
 	attempt string // Attempt-Id of the call that the message belongs to, or ""
-	answer  bool   // the message is (part of) a response
+	answer  bool   // the message is a response or a part of one
 }
 
 // framing splits the bytes of a connection into messages.
