--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -37,8 +37,8 @@
 	// minSidecars is a lower bound of the number of sidecars by which the minimum of retries is divided.
 	minSidecars = 8
 	// callsPerSlot is the number of concurrent calls per server slot that all sidecars together send before they hold
-	// further calls in their own queues. It is more than one because the load is unevenly distributed over the sidecars, and because a
-	// call that waits briefly at the server is served sooner than a rejected one.
+	// further calls in their own queues. It is more than one because the load is unevenly distributed over the sidecars,
+	// and because a call that waits briefly at the server is served sooner than a rejected one.
 	callsPerSlot = 2
 )
 
