--- a/internal/mesh/sidecar/call_chain_test.go
+++ b/internal/mesh/sidecar/call_chain_test.go
@@ -200,9 +200,9 @@
 
 // call makes one call and reads its response.
 func (c *callerConn) call(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
-	c.x.history.asked(attempt, kind, key)
+	c.x.history.recordCall(attempt, kind, key)
 	t := c.exchange(attempt, kind, how, key, budget)
-	c.x.history.answered(attempt, t)
+	c.x.history.recordResponse(attempt, t)
 	return t
 }
 
--- a/internal/mesh/sidecar/call_history_test.go
+++ b/internal/mesh/sidecar/call_history_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/history"
 )
 
-// kindOfCall classifies calls by how often they may run.
+// kindOfCall is the kind of a call by how often the servers may run it.
 type kindOfCall string
 
 const (
@@ -18,7 +18,7 @@
 	repeatableCall kindOfCall = "often"
 )
 
-// callerAnswer is the response that a caller got: the status, the request that the response names, its seal and body. Status 0: the connection
+// callerAnswer is the response that a caller received, with the Attempt-Id, seal and body that it contains. A Status of 0 means that the connection
 // ended without a response.
 type callerAnswer struct {
 	Status          int
@@ -27,50 +27,54 @@
 	RetryAfter      string
 }
 
-// callSeen is one call as its caller and the servers saw it.
-type callSeen struct {
+// observedCall is what the caller and the servers observed of one call.
+type observedCall struct {
 	kind    kindOfCall
 	key     string
-	asked   int // times: more than one where a caller uses an id again
+	calls   int // how often the caller made it; more than once if it reused the Attempt-Id
 	answers []callerAnswer
-	runs    []string // servers that ran it, in order
+	runs    []string // IDs of the servers that ran it, in order
 }
 
-// callHistory records what callers and servers saw, and checks it independently of the code under test.
+// callHistory records what callers and servers observed, and checks it independently of the code under test.
 type callHistory struct {
-	start time.Time
-	mu    sync.Mutex // guards below
-	calls map[string]*callSeen
-	order []string
-	seen  history.History // runs and answers
+	start  time.Time
+	mu     sync.Mutex // guards below
+	calls  map[string]*observedCall
+	order  []string        // Attempt-Ids in the order in which they were first recorded
+	events history.History // runs and responses
 }
 
 func newCallHistory() *callHistory {
-	return &callHistory{start: time.Now(), calls: map[string]*callSeen{}}
+	return &callHistory{start: time.Now(), calls: map[string]*observedCall{}}
 }
 
-// keyWindow is how long a key may run only once. It is longer than any test. A call that may run once counts as a key of its own.
+// keyWindow is the time in which the request of a key may run at most once. It is longer than any test. A call of kind onceCall is recorded with its
+// Attempt-Id as its key.
 const keyWindow = time.Hour
 
-func (h *callHistory) call(attempt string) *callSeen {
+// call returns the record of a call. The caller holds mu.
+func (h *callHistory) call(attempt string) *observedCall {
 	c := h.calls[attempt]
 	if c == nil {
-		c = &callSeen{}
+		c = &observedCall{}
 		h.calls[attempt] = c
 		h.order = append(h.order, attempt)
 	}
 	return c
 }
 
-func (h *callHistory) asked(attempt string, kind kindOfCall, key string) {
+// recordCall records that a caller makes a call.
+func (h *callHistory) recordCall(attempt string, kind kindOfCall, key string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.call(attempt)
 	c.kind, c.key = kind, key
-	c.asked++
+	c.calls++
 }
 
-func (h *callHistory) ran(attempt, server string) {
+// recordRun records that a server runs a call.
+func (h *callHistory) recordRun(attempt, server string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.call(attempt)
@@ -80,17 +84,18 @@
 		key = attempt
 	}
 	if key != "" {
-		h.seen.Runs = append(h.seen.Runs, history.Run{At: time.Since(h.start), Server: server, Key: key, Window: keyWindow, Request: attempt})
+		h.events.Runs = append(h.events.Runs, history.Run{At: time.Since(h.start), Server: server, Key: key, Window: keyWindow, Request: attempt})
 	}
 }
 
-func (h *callHistory) answered(attempt string, t callerAnswer) {
+// recordResponse records the response to a call, or that there was none.
+func (h *callHistory) recordResponse(attempt string, t callerAnswer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.call(attempt)
 	c.answers = append(c.answers, t)
 	if t.Status != 0 {
-		h.seen.Answers = append(h.seen.Answers, history.Answer{
+		h.events.Answers = append(h.events.Answers, history.Answer{
 			At: time.Since(h.start), Process: "caller", Request: attempt,
 			AnsweredRequest: t.AttemptID,
 		})
@@ -104,54 +109,56 @@
 	return len(h.call(attempt).runs)
 }
 
-// answers returns how many responses a call has got.
+// answers returns how many responses to a call were recorded.
 func (h *callHistory) answers(attempt string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.call(attempt).answers)
 }
 
-// sealOf returns the seal of a server's response to a call.
+// sealOf returns the seal of a test server's response to a call.
 func sealOf(attempt string) string { return "seal." + attempt }
 
-// violations returns the violations of these rules: each call gets exactly one response, its own; a call that is not idempotent runs at most once,
-// for a key over all its calls; 503, 429, 421 and 408 are only returned for calls that never ran; a successful repeat returns the response
-// of the first run.
+// violations checks these rules and returns a text for each violation:
+//   - Each call gets exactly one response, which is its own.
+//   - A call that is not idempotent runs at most once. Of all calls with the same key, at most one runs, once.
+//   - The statuses 503, 429, 421 and 408 are only returned for calls that never ran, unless they are idempotent; 503 comes with Retry-After.
+//   - A successful response to a repeated key is the response of the run that there was.
 func (h *callHistory) violations() (l []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	wrong := func(format string, args ...any) { l = append(l, fmt.Sprintf(format, args...)) }
-	for _, v := range history.AtMostOnce(&h.seen) {
-		wrong("TWICE: %v", v)
+	report := func(format string, args ...any) { l = append(l, fmt.Sprintf(format, args...)) }
+	for _, v := range history.AtMostOnce(&h.events) {
+		report("TWICE: %v", v)
 	}
-	for _, v := range history.MatchedAnswers(&h.seen) {
-		wrong("MIXED: %v", v)
+	for _, v := range history.MatchedAnswers(&h.events) {
+		report("MIXED: %v", v)
 	}
 	runsOfKey := map[string][]string{}
-	for _, r := range h.seen.Runs {
+	for _, r := range h.events.Runs {
 		runsOfKey[r.Key] = append(runsOfKey[r.Key], r.Request)
 	}
 	for _, attempt := range h.order {
 		c := h.calls[attempt]
-		if len(c.answers) != c.asked {
-			wrong("ANSWERS: %s was asked %d times and has %d answers", attempt, c.asked, len(c.answers))
+		if len(c.answers) != c.calls {
+			report("ANSWERS: %s was called %d times and has %d responses", attempt, c.calls, len(c.answers))
 		}
 		for _, t := range c.answers {
-			h.judge(attempt, c, t, runsOfKey[c.key], wrong)
+			h.checkResponse(attempt, c, t, runsOfKey[c.key], report)
 		}
 	}
 	return l
 }
 
-// judge checks one response. The caller holds the lock.
-func (h *callHistory) judge(attempt string, c *callSeen, t callerAnswer, runsOfKey []string, wrong func(string, ...any)) {
+// checkResponse checks one response to a call. The caller holds mu.
+func (h *callHistory) checkResponse(attempt string, c *observedCall, t callerAnswer, runsOfKey []string, report func(string, ...any)) {
 	switch t.Status {
 	case 408, 421, 429, 503:
 		if c.kind != repeatableCall && len(c.runs) > 0 {
-			wrong("REFUSED: %s has run and is told %d", attempt, t.Status)
+			report("REFUSED: %s has run, but its response has status %d", attempt, t.Status)
 		}
 		if t.Status == 503 && t.RetryAfter == "" {
-			wrong("REFUSED: %s is told 503 and not when to come back", attempt)
+			report("REFUSED: the response to %s has status 503 and no Retry-After", attempt)
 		}
 	case 200:
 		ran := attempt
@@ -159,13 +166,13 @@
 			ran = runsOfKey[0]
 		}
 		if t.Seal != sealOf(ran) || !strings.HasPrefix(t.Body, bodyOf(ran)) {
-			wrong("MIXED: %s has seal %q and body %.40q, wanted those of %s", attempt, t.Seal, t.Body, ran)
+			report("MIXED: the response to %s has seal %q and body %.40q, want those of %s", attempt, t.Seal, t.Body, ran)
 		}
 		if len(h.calls[ran].runs) == 0 {
-			wrong("MIXED: %s has a success and never ran", attempt)
+			report("MIXED: %s has a successful response, but never ran", attempt)
 		}
 	}
 }
 
-// bodyOf returns the beginning of the response to a call.
+// bodyOf returns the beginning of the body of a test server's response to a call.
 func bodyOf(attempt string) string { return "ran " + attempt + "\n" }
--- a/internal/mesh/sidecar/directory_view.go
+++ b/internal/mesh/sidecar/directory_view.go
@@ -42,7 +42,7 @@
 	}
 	for _, record := range changed {
 		if record.Addr == addr {
-			d.localServer.supersede(record.Incarnation)
+			d.localServer.raiseIncarnation(record.Incarnation)
 		}
 	}
 	d.pools.refreshServices()
--- a/internal/mesh/sidecar/early_answer_test.go
+++ b/internal/mesh/sidecar/early_answer_test.go
@@ -14,12 +14,13 @@
 	"cranegrade/internal/testkit"
 )
 
-// A server answers a long request before it has read the body, keeps the connection and reads on later. It gets what is left of that body or the
-// connection's end, and no byte of another request; its answer reaches the caller, and the next call is served over another connection.
-func TestAnswerBeforeTheEndOfALongBody(t *testing.T) {
+// A server responds to a request before it has read the whole body, keeps the connection open and continues to read later. The caller gets the
+// response, and the next calls are served over other connections. On the first connection the server reads only the rest of that body or the end of
+// the connection, but no byte of another request.
+func TestResponseBeforeEndOfRequestBody(t *testing.T) {
 	x := startCallChain(t, 1)
-	rest := make(chan string, maxScriptedArrivals)
-	later := make(chan struct{})
+	restOfConn := make(chan string, maxScriptedArrivals)
+	readOn := make(chan struct{})
 	x.attachServer(0, func(a *arrival) bool {
 		if a.request.ContentLength < uploadBytes {
 			a.readBody()
@@ -27,36 +28,36 @@
 			return true
 		}
 		a.succeed()
-		<-later
-		_ = a.conn.SetReadDeadline(time.Now().Add(promptly))
+		<-readOn
+		_ = a.conn.SetReadDeadline(time.Now().Add(promptTimeout))
 		text, _ := io.ReadAll(a.reader)
-		rest <- string(text)
+		restOfConn <- string(text)
 		return false
 	})
 	caller := x.dial()
 	defer caller.c.Close()
 	text := requestText(newAttemptID(), repeatableCall, "upload", "", testkit.Limit/2)
-	_, err := io.WriteString(caller.c, text[:len(text)-uploadBytes/4]) // the caller is not done yet
+	_, err := io.WriteString(caller.c, text[:len(text)-uploadBytes/4]) // the caller has not sent the end of the body yet
 	assert.NilError(t, err)
 	assert.Equal(t, caller.readAnswer().Status, http.StatusOK)
 	for range 3 {
 		await(t, func() bool { return x.call(repeatableCall, "plain", "", time.Second).Status == http.StatusOK })
 	}
-	close(later)
-	got := receivePromptly(t, "the connection stays open", rest)
-	assert.Equal(t, strings.Trim(got, "x"), "", "other bytes than the body's")
+	close(readOn)
+	got := receivePromptly(t, "the server read no end of the connection", restOfConn)
+	assert.Equal(t, strings.Trim(got, "x"), "", "the server read bytes that are not part of the body")
 }
 
-// responseCut says how much of a response without a length was sent when its connection was reset.
+// responseCut is a point in a response without a length at which its connection is reset.
 type responseCut struct {
 	name  string
-	begun bool // the caller has got the head of the response before the reset
+	begun bool // whether the caller receives the head of the response before the reset
 }
 
-// A response without a length ends with its connection. If that is reset, the caller does not get a complete response: neither one with a status
-// of success whose end looks like that of a body, over HTTP/1.1 or 1.0, nor one that seems complete.
+// A response without a length ends with its connection. If the server's connection is reset, the caller must not receive a successful response that
+// looks complete, neither over HTTP/1.1 nor over HTTP/1.0.
 func TestResetResponseWithoutLengthIsIncomplete(t *testing.T) {
-	for _, cut := range []responseCut{{"before the caller has any of it", false}, {"after the caller has its head", true}} {
+	for _, cut := range []responseCut{{"before the caller has received anything", false}, {"after the caller has received the head", true}} {
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(fmt.Sprintf("%s, %s", cut.name, version), func(t *testing.T) {
 				t.Parallel()
@@ -83,7 +84,7 @@
 					assert.NilError(t, err)
 					close(reset)
 				}
-				assert.Assert(t, caller.readAnswer().Status != http.StatusOK, "an incomplete response seems complete")
+				assert.Assert(t, caller.readAnswer().Status != http.StatusOK, "a truncated response looks complete")
 			})
 		}
 	}
--- a/internal/mesh/sidecar/ending_codes.go
+++ b/internal/mesh/sidecar/ending_codes.go
@@ -6,19 +6,19 @@
 	"cranegrade/internal/message"
 )
 
-// Codes of how an attempt ended, as responses carry them on the wire. The values must never change.
+// Ending codes say how an attempt ended. Responses carry them on the wire, so the values must never change.
 const (
-	codeAnswered      byte = iota // status and body are the server's, or those of the sidecar in its place
-	codeServerFailed              // the same, but the server failed
-	codeOverloaded                // the server rejected it: it has not run
-	codeNotAccepted               // the sidecar rejected it: it has not run
-	codeBroken                    // it may have run
-	codeTimedOut                  // it may have run
-	codeKeyNotGranted             // its key was not granted: it has not run, and no other server would do better
+	codeAnswered      byte = iota // status and body are from the server, or from the sidecar on its behalf
+	codeServerFailed              // as codeAnswered, but the response is a server failure
+	codeOverloaded                // the server rejected the request: it has not run
+	codeNotAccepted               // the sidecar rejected the request: it has not run
+	codeBroken                    // no valid response arrived: the request may have run
+	codeTimedOut                  // the time ran out: the request may have run
+	codeKeyNotGranted             // no lease for its key: it has not run, and a retry at another server would not help
 )
 
-// endingsByCode are the decision module's endings for the codes; codeKeyNotGranted has none. An unknown code counts
-// as broken.
+// endingsByCode maps ending codes to the endings of the decision module. codeKeyNotGranted has none. An unknown code is
+// treated as balancer.Broken.
 var endingsByCode = map[byte]balancer.Ending{
 	codeAnswered:     balancer.Success,
 	codeServerFailed: balancer.Failure,
@@ -28,7 +28,7 @@
 	codeTimedOut:     balancer.TimedOut,
 }
 
-// messageFields returns header fields as the front and the sender use them.
+// messageFields converts header fields from the wire format to the form that the front and the sender use.
 func messageFields(fields []*wire.HeaderFieldT) []message.Field {
 	out := make([]message.Field, 0, len(fields))
 	for _, f := range fields {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// wireFields returns header fields as responses carry them.
+// wireFields converts header fields to the wire format.
 func wireFields(fields []message.Field) (out []*wire.HeaderFieldT) {
 	for _, f := range fields {
 		out = append(out, &wire.HeaderFieldT{Name: f.Name, Value: f.Value})
--- a/internal/mesh/sidecar/environment.go
+++ b/internal/mesh/sidecar/environment.go
@@ -15,20 +15,20 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// incarnationBytes is the length of the random identity of a process. With 48 bits, two incarnations at one
-// address are not expected ever to draw the same.
+// incarnationBytes is the length of the random ID of a process. 48 bits make a collision between two incarnations at
+// the same address practically impossible.
 const incarnationBytes = 6
 
 // environment is shared by all parts of a sidecar: its identity, settings, clock and log, and the calls that wait for
-// replies of other processes. Except for the settings, which are replaced as a whole, nothing in it changes after Run
-// has begun.
+// replies of other processes. Nothing in it changes after Run has begun, except that a reload replaces the settings as
+// a whole.
 type environment struct {
 	settings    atomic.Pointer[settings.Settings]
 	log         zerolog.Logger
 	clock       engine.Clock
 	startedAt   time.Time
-	incarnation string          // of this process, in tokens and key leases
-	ctx         context.Context // ends with all work of the sidecar; set before any goroutine starts
+	incarnation string          // random ID of this process, part of tokens and lease holders
+	ctx         context.Context // cancelled when the sidecar ends; set before any goroutine starts
 	calls       transport.Calls
 }
 
@@ -48,7 +48,7 @@
 // addr returns the address of the inbound listener, by which the other sidecars name this one.
 func (e *environment) addr() string { return e.settings.Load().ListenAddrs.Inbound }
 
-// hello introduces this sidecar to another process.
+// hello returns the message that introduces this sidecar to another process.
 func (e *environment) hello() *wire.HelloT {
 	set := e.settings.Load()
 	return &wire.HelloT{Name: set.NodeName, Addr: e.addr(), Zone: set.Zone}
--- a/internal/mesh/sidecar/faults_test.go
+++ b/internal/mesh/sidecar/faults_test.go
@@ -152,15 +152,15 @@
 	a, b := newAttemptID(), newAttemptID()
 	c := x.dial()
 	defer c.c.Close()
-	x.history.asked(a, onceCall, "")
-	x.history.asked(b, onceCall, "")
+	x.history.recordCall(a, onceCall, "")
+	x.history.recordCall(b, onceCall, "")
 	_, err := io.WriteString(c.c, requestText(a, onceCall, "plain", "", 15*time.Second)+
 		requestText(b, onceCall, "plain", "", 15*time.Second)+"and more\r\n\r\n")
 	assert.NilError(t, err)
 	for _, id := range []string{a, b} {
 		answer := c.readAnswer()
 		assert.Equal(t, answer.Status, 200)
-		x.history.answered(id, answer)
+		x.history.recordResponse(id, answer)
 	}
 	assert.Equal(t, c.readAnswer().Status, 400)
 	x.assertNoViolations()
@@ -171,7 +171,7 @@
 	t.Parallel()
 	x := startCallChain(t, 1)
 	id := newAttemptID()
-	x.history.asked(id, onceCall, "")
+	x.history.recordCall(id, onceCall, "")
 	c := x.dial()
 	defer c.c.Close()
 	fmt.Fprintf(c.c, "POST /once/plain HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n",
@@ -183,7 +183,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, x.history.runs(id), 0)
 	io.WriteString(c.c, callBody)
-	x.history.answered(id, c.readAnswer())
+	x.history.recordResponse(id, c.readAnswer())
 	assert.Equal(t, x.call(repeatableCall, "plain", "", 2*time.Second).Status, 200)
 	x.assertNoViolations()
 }
--- a/internal/mesh/sidecar/final_answer_test.go
+++ b/internal/mesh/sidecar/final_answer_test.go
@@ -46,7 +46,7 @@
 	answer := x.call("short", "plain", "", testkit.Limit)
 	// An idempotent call may be rejected as well as timed out.
 	assert.Assert(t, answer.Status == http.StatusGatewayTimeout || answer.Status == http.StatusServiceUnavailable, "%+v", answer)
-	assert.Assert(t, time.Since(began) < promptly, "%v", time.Since(began))
+	assert.Assert(t, time.Since(began) < promptTimeout, "%v", time.Since(began))
 }
 
 // The deadline of a call and the time of the engine's fallback answer are within the time of the route and of the caller.
--- a/internal/mesh/sidecar/flow_window.go
+++ b/internal/mesh/sidecar/flow_window.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// sendWindowBytes is how much of a body may be in flight to a receiver that has not read it yet.
+	// sendWindowBytes is how much of a body may be sent before the receiver has read it.
 	sendWindowBytes = 256 << 10
-	// windowUpdateBytes is how much a receiver reads before it sends a window update.
+	// windowUpdateBytes is how much of a body a receiver reads between two window updates.
 	windowUpdateBytes = 32 << 10
 )
 
-// flowWindow is the sender's flow-control window of a stream (as in RFC 9113, section 5.2): how many bytes of a body
-// may still be sent. The zero value is an empty window. It may be used from any goroutine.
+// flowWindow is the sender's flow-control window of a stream (as in RFC 9113, section 5.2): the number of bytes of a
+// body that may still be sent. The zero value is an empty window. It is safe for concurrent use.
 type flowWindow struct {
-	mu        sync.Mutex // guards below
-	available int        // bytes; negative after a chunk that was larger than the window
-	wake      chan struct{}
+	mu        sync.Mutex    // guards below
+	available int           // bytes; negative after a chunk larger than the window
+	wake      chan struct{} // closed to wake the waiting goroutines; nil if none waits
 	closed    bool
 }
 
-// add opens the window by n bytes.
+// add enlarges the window by n bytes.
 func (w *flowWindow) add(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,7 +29,7 @@
 	w.wakeWaiters()
 }
 
-// close makes all calls of acquire return false, because nothing more has to be sent.
+// close makes all present and future calls of acquire return false, because nothing more has to be sent.
 func (w *flowWindow) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +37,7 @@
 	w.wakeWaiters()
 }
 
-// isClosed reports whether nothing more has to be sent.
+// isClosed reports whether close was called.
 func (w *flowWindow) isClosed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// acquire waits until the window is not empty, and takes n bytes of it, which may make it negative. It returns false
-// if the window was closed or ctx ended, so that nothing more has to be sent.
+// acquire waits until the window is positive, and then subtracts n bytes, which may make it negative. It returns false
+// if the window was closed or ctx ended; the caller then stops sending.
 func (w *flowWindow) acquire(ctx context.Context, n int) bool {
 	for {
 		w.mu.Lock()
--- a/internal/mesh/sidecar/headers.go
+++ b/internal/mesh/sidecar/headers.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Names of the protocol's headers.
+// Headers of the protocol between callers, sidecars and servers.
 const (
 	headerAttemptID      = "Attempt-Id"
 	headerTimeBudget     = "Time-Budget"
@@ -16,15 +16,15 @@
 	headerServerSeal     = "Server-Seal"
 	headerNotExecuted    = "Not-Executed"
 	headerRetryAfter     = "Retry-After"
-	// headerRuleTrace asks for, and names in the response, the fingerprints of the effective policy and of the active set.
+	// headerRuleTrace requests the fingerprints of the effective policy and of the active policy set. In the response
+	// it contains them.
 	headerRuleTrace = "Rule-Trace"
 )
 
-// headerOverheadBytes is what a header takes on the wire besides its name and value.
+// headerOverheadBytes is the size of the separators of a header on the wire: ": " and CRLF.
 const headerOverheadBytes = 4
 
-// unforwardedHeaders is the headers that only concern one connection (RFC 9110, section 7.6.1), and those that the
-// mesh sets itself.
+// unforwardedHeaders are the hop-by-hop headers (RFC 9110, section 7.6.1) and those that the mesh sets itself.
 var unforwardedHeaders = map[string]bool{
 	"Connection":         true,
 	"Content-Length":     true,
@@ -40,7 +40,8 @@
 	headerTimeBudget:     true,
 }
 
-// forwardedHeaders returns the headers of a request that are forwarded.
+// forwardedHeaders returns the headers of a request without the hop-by-hop ones, including those that its Connection
+// header names, and without those that the mesh sets itself.
 func forwardedHeaders(header http.Header) map[string][]string {
 	forwarded := make(map[string][]string, len(header)+1)
 	for name, values := range header {
--- a/internal/mesh/sidecar/heartbeat_order_test.go
+++ b/internal/mesh/sidecar/heartbeat_order_test.go
@@ -16,16 +16,16 @@
 	"cranegrade/internal/testkit"
 )
 
-// assertServer checks which server the other sidecars are told of.
-func (s *localServer) assertServer(t *testing.T, id string, state directory.ServerState) {
+// assertRecord checks the instance and the state in the record that was published last.
+func (s *localServer) assertRecord(t *testing.T, id string, state directory.ServerState) {
 	t.Helper()
 	r := s.record()
 	assert.Assert(t, r.ServerID == id && r.State == state, "%+v, want %q %v", r, id, state)
 }
 
-// The CallSeq of an instance orders its own heartbeats alone: the next instance begins again at a low one, and what comes late of the instance
-// before changes nothing, whether that has left, or was replaced without a word. The same holds if the instance moves to another address.
-func TestHeartbeatsOfTheNextInstance(t *testing.T) {
+// CallSeq orders only the heartbeats of the same instance, and the next instance starts at a low number. Late heartbeats of the previous instance
+// change nothing, whether it has deregistered or was replaced without deregistering.
+func TestLateHeartbeatsOfPreviousInstance(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leaves=%v", leaves), func(t *testing.T) {
 			s := newTestLocalServer(t)
@@ -33,36 +33,35 @@
 			if leaves {
 				assert.Equal(t, s.postCall(t, "i-1/deregister", ""), http.StatusOK)
 				s.postHeartbeat(t, "i-1", "ready", 1<<40+1)
-				s.assertServer(t, "", directory.ServerNone)
+				s.assertRecord(t, "", directory.ServerNone)
 			}
 			s.postHeartbeat(t, "i-2", "ready", 1)
-			s.assertServer(t, "i-2", directory.ServerReady)
+			s.assertRecord(t, "i-2", directory.ServerReady)
 			s.postHeartbeat(t, "i-1", "draining", 1<<40+2)
-			s.assertServer(t, "i-2", directory.ServerReady)
+			s.assertRecord(t, "i-2", directory.ServerReady)
 			s.postHeartbeat(t, "i-2", "draining", 2)
 			s.postHeartbeat(t, "i-2", "ready", 1) // late
 			s.postHeartbeat(t, "i-1", "ready", 1<<40+3)
-			s.assertServer(t, "i-2", directory.ServerDraining)
+			s.assertRecord(t, "i-2", directory.ServerDraining)
 		})
 	}
 }
 
-// The highest CallSeq that there is counts as later than all others. A number does not begin again within the life of an instance, so one that
-// is lower after it is late.
+// CallSeq does not wrap around within an instance, so any lower number after the highest possible one belongs to a late heartbeat.
 func TestHighestCallSeq(t *testing.T) {
 	s := newTestLocalServer(t)
 	s.postHeartbeat(t, "i-1", "ready", math.MaxInt64-1)
 	s.postHeartbeat(t, "i-1", "draining", math.MaxInt64)
-	s.assertServer(t, "i-1", directory.ServerDraining)
+	s.assertRecord(t, "i-1", directory.ServerDraining)
 	for _, late := range []int{math.MaxInt64 - 1, 1, 0} {
 		s.postHeartbeat(t, "i-1", "ready", late)
-		s.assertServer(t, "i-1", directory.ServerDraining)
+		s.assertRecord(t, "i-1", directory.ServerDraining)
 	}
 }
 
-// Heartbeats and deregister calls are acknowledged without waiting for anybody who is to be told: the directory is locked meanwhile. The
-// acknowledgement has the size that servers accept, and sends them to no other node (see postCall).
-func TestAcknowledgementWaitsForNobody(t *testing.T) {
+// Heartbeats and deregister calls are acknowledged without waiting until the change is published: the test keeps the directory locked. The size of
+// the acknowledgement is within what servers accept.
+func TestAcknowledgementDoesNotWaitForDirectory(t *testing.T) {
 	s, _, _ := newFollowingSidecar(t)
 	s.directory.mu.Lock()
 	defer s.directory.mu.Unlock()
@@ -81,12 +80,12 @@
 		}
 		close(acknowledged)
 	}()
-	receivePromptly(t, "an acknowledgement waits for the directory", acknowledged)
+	receivePromptly(t, "the acknowledgement waits for the directory", acknowledged)
 }
 
-// A server leaves by its deregister call alone, or says before that it drains, and serves on for long after DrainS. What it runs is answered, nothing
-// new reaches it, and none of its later heartbeats changes that.
-func TestLeavingServerServesOn(t *testing.T) {
+// A server leaves by a deregister call, in one case after it has reported that it drains, and continues a running request for much longer than
+// DrainS. The caller gets the response to that request, no new request reaches the server, and its later heartbeats do not change that.
+func TestLeavingServerCompletesRunningRequests(t *testing.T) {
 	const drainTime = 50 * time.Millisecond
 	for _, drains := range []bool{false, true} {
 		t.Run(fmt.Sprintf("drains=%v", drains), func(t *testing.T) {
@@ -99,7 +98,7 @@
 			running, proceed := make(chan *arrival, maxScriptedArrivals), make(chan struct{})
 			x.attachServer(0, func(a *arrival) bool {
 				a.readBody()
-				x.history.ran(a.attemptID(), id)
+				x.history.recordRun(a.attemptID(), id)
 				running <- a
 				<-proceed
 				a.succeed()
@@ -115,31 +114,31 @@
 			} else {
 				server.deregister(id)
 			}
-			for left := time.Now().Add(10 * drainTime); time.Now().Before(left); {
+			for end := time.Now().Add(10 * drainTime); time.Now().Before(end); {
 				x.heartbeat(0, addr, "ready", 2) // late
 				x.heartbeat(0, addr, "draining", 4)
 				server.checkHeartbeat(false)
-				refused := x.call(onceCall, "plain", "", drainTime)
-				assert.Assert(t, refused.Status == http.StatusServiceUnavailable, "%+v", refused)
+				rejected := x.call(onceCall, "plain", "", drainTime)
+				assert.Assert(t, rejected.Status == http.StatusServiceUnavailable, "%+v", rejected)
 			}
 			if drains {
 				server.deregister(id)
 			}
-			assert.Equal(t, len(running), 0, "a call reached a server that leaves")
+			assert.Equal(t, len(running), 0, "a request reached a server that is leaving")
 			close(proceed)
-			assert.Equal(t, receivePromptly(t, "a call of a server that leaves is not answered", answered).Status, http.StatusOK)
+			assert.Equal(t, receivePromptly(t, "the request that was running at the leaving server is not answered", answered).Status, http.StatusOK)
 			x.heartbeat(0, addr, "ready", 5)
-			server.assertServer(t, "", directory.ServerNone)
+			server.assertRecord(t, "", directory.ServerNone)
 			x.assertNoViolations()
 		})
 	}
 }
 
-// A late heartbeat of an instance that this sidecar has not heard of since it restarted changes nothing.
-func TestLateHeartbeatOfAnUnknownInstance(t *testing.T) {
+// A late heartbeat of a former instance changes nothing, even if the sidecar has restarted since that instance ended and so does not remember it.
+func TestLateHeartbeatAfterSidecarRestart(t *testing.T) {
 	s := newTestLocalServer(t)
 	s.postHeartbeat(t, "i-2", "ready", 7)
 	s.postHeartbeat(t, "i-1", "ready", 900)
 	s.postHeartbeat(t, "i-2", "ready", 8)
-	s.assertServer(t, "i-2", directory.ServerReady)
+	s.assertRecord(t, "i-2", directory.ServerReady)
 }
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -47,7 +47,7 @@
 	s.startControl()
 	<-ctx.Done()
 	s.readiness.stopping.Store(true)
-	s.localServer.leave() //nolint:contextcheck // what it starts lasts as long as the sidecar
+	s.localServer.announceLeaving() //nolint:contextcheck // what it starts lasts as long as the sidecar
 	s.controlPlane.close()
 	s.upstreams.close()
 }
--- a/internal/mesh/sidecar/inbound_conn.go
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -11,9 +11,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// errStreamIDInUse is why a connection is closed on which a stream ID is used twice: responses could be taken for
-// those of the wrong request.
-const errStreamIDInUse = errors.ConstError("a request's id is in use")
+// errStreamIDInUse is the error with which a connection is closed if the peer reuses the stream ID of an open request:
+// responses could be assigned to the wrong request.
+const errStreamIDInUse = errors.ConstError("the peer opened a request with the stream ID of another open request")
 
 // inboundConn is a connection from another sidecar, with its open requests by stream ID.
 type inboundConn struct {
@@ -24,7 +24,8 @@
 	requests map[uint64]*inboundRequest
 }
 
-// receive handles messages until the connection ends, and then cancels the requests whose responses nobody will read.
+// receive handles messages until the connection ends, and then informs the open requests, whose responses nobody can
+// read any more.
 func (c *inboundConn) receive() {
 	for {
 		message, err := c.conn.Receive()
@@ -40,8 +41,8 @@
 	}
 }
 
-// handleMessage handles one message of the peer. A message about a request that has ended is ignored, since the peer
-// may have sent it before it had the response.
+// handleMessage handles one message of the peer. It ignores messages about requests that have ended, since the peer may
+// have sent them before it received the response.
 func (c *inboundConn) handleMessage(received codec.Message) {
 	switch message := received.Value.(type) {
 	case *wire.RequestT:
@@ -63,7 +64,8 @@
 	}
 }
 
-// sendResponse sends a response, or the head of a streamed one, in a form that the peer's version can read.
+// sendResponse sends a response, or the head of a streamed one, in an encoding that the peer's protocol version
+// supports.
 func (c *inboundConn) sendResponse(response *wire.ResponseT) {
 	if c.conn.Peer.TransportVersion >= codec.PackedHeaderVersion {
 		response = codec.PackResponse(response)
@@ -71,14 +73,14 @@
 	_ = c.conn.Send(response) // an error ends the connection, which receive notices
 }
 
-// find returns the open request of a stream, or nil if there is none.
+// find returns the open request with a stream ID, or nil if there is none.
 func (c *inboundConn) find(id uint64) *inboundRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests[id]
 }
 
-// add records an open request. It returns false if its stream ID is in use.
+// add registers an open request. It returns false if its stream ID is in use.
 func (c *inboundConn) add(r *inboundRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +91,7 @@
 	return true
 }
 
-// remove forgets a request that has ended.
+// remove unregisters a request that has ended.
 func (c *inboundConn) remove(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +111,9 @@
 	}
 }
 
-// connClosed is called when nobody can read the response any more. A request that may run only once is not cancelled, so
-// that its response is stored in case the client repeats the request; a streamed response is not stored.
+// connClosed is called when the connection has ended, so that the response cannot be delivered. A request that may run
+// at most once is not cancelled: its response is stored in case the client repeats the request. If its response is
+// streamed, it is cancelled, since streamed responses are not stored.
 func (r *inboundRequest) connClosed() {
 	r.sendWindow.close()
 	if !r.request.AtMostOnce || r.streaming.Load() {
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -13,8 +13,8 @@
 	"cranegrade/internal/message"
 )
 
-// inboundRequest is a request of another sidecar that runs at the local server. It has a goroutine of its own, that of
-// run. The connection's goroutine pushes its body, opens its send window and cancels it.
+// inboundRequest is a request of another sidecar that runs at the local server. Its goroutine is that of run. The
+// goroutine that receives from the connection pushes its body, enlarges its send window and cancels it.
 type inboundRequest struct {
 	inbound    *inboundServer
 	conn       *inboundConn
@@ -22,9 +22,9 @@
 	cancel     context.CancelCauseFunc
 	sendWindow flowWindow
 	body       *message.Stream // of a streamed request; nil if the body came with the request
-	ownsKey    atomic.Bool     // the key's lease is this request's
-	streaming  atomic.Bool     // its response is streamed
-	truncated  atomic.Bool     // its streamed response was not completed
+	holdsLease atomic.Bool     // this request holds the lease of its key
+	streaming  atomic.Bool     // the response is streamed
+	truncated  atomic.Bool     // the streamed response ended before it was complete
 }
 
 // beginRequest starts a request on its own goroutine. If the stream ID is in use, it closes the connection.
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
 	fields, err := codec.UnpackHeader(request.PackedHeader)
-	if err != nil { // a fault of the peer; nothing has run
+	if err != nil { // the peer sent a malformed header; nothing has run
 		conn.sendResponse(&wire.ResponseT{Id: request.Id, Ending: codeNotAccepted})
 		return
 	}
@@ -57,7 +57,7 @@
 	go r.run(ctx)
 }
 
-// newBody returns the stream of the request's body. While the stream is read, it sends window updates to the peer.
+// newBody returns a stream for the request's body, which sends window updates to the peer as it is read.
 func (r *inboundRequest) newBody() *message.Stream {
 	body := message.NewStream(nil, func(n int) {
 		_ = r.conn.conn.Send(&wire.WindowUpdateT{Id: r.request.Id, Increment: uint32(n)})
@@ -66,7 +66,7 @@
 	return body
 }
 
-// run serves the request, and sends its response unless it was streamed.
+// run serves the request and sends the response, unless serve has already streamed it.
 func (r *inboundRequest) run(ctx context.Context) {
 	server, conn := r.inbound, r.conn
 	defer server.openRequests.Add(-1)
@@ -81,7 +81,7 @@
 	}
 }
 
-// kind returns how often the request may run.
+// kind returns the kind of the request by how often it may run.
 func (r *inboundRequest) kind() requestKind {
 	switch {
 	case r.request.IdempotencyKey != "":
@@ -92,16 +92,17 @@
 	return kindIdempotent
 }
 
-// timeout returns the time that the sidecar beside the caller left for the request when it sent it.
+// timeout returns the time that was left for the request when the caller's sidecar sent it.
 func (r *inboundRequest) timeout() time.Duration {
 	return time.Duration(r.request.TimeoutUs) * time.Microsecond
 }
 
 // serve runs the request and returns its response. It returns nil if the response was streamed.
 //
-// The order of its steps is what makes a rejection safe. Whether the server is here and takes requests is checked
-// first. Then the key's lease is requested, before the first byte goes to the server. The sender asks once more at the
-// moment of writing (engine.Attempt.MayWrite): whether the server still takes requests, and whether there is time left.
+// The order of the steps ensures that a rejected request has not run. First serve checks that the requested instance is
+// the local server and accepts requests. Then it requests the key's lease, before any byte is sent to the server.
+// Immediately before writing, the sender checks again whether the server accepts requests and whether there is time
+// left (engine.Attempt.MayWrite).
 func (r *inboundRequest) serve(ctx context.Context) *wire.ResponseT {
 	deadline := time.Now().Add(r.timeout())
 	endpoint := r.inbound.localServer.endpointOf(r.request.ServerId)
@@ -112,15 +113,15 @@
 		if response := r.claimKey(ctx); response != nil {
 			return response
 		}
-		r.ownsKey.Store(true)
+		r.holdsLease.Store(true)
 	}
-	if time.Until(deadline) <= 0 { // the lease took the whole time
+	if time.Until(deadline) <= 0 { // the lease request used up the time
 		return r.conclude(balancer.NeverSent, nil)
 	}
 	return r.forward(ctx, endpoint, deadline)
 }
 
-// newMessage returns the request in the form that the sender uses.
+// newMessage converts the request to the form that the sender uses.
 func (r *inboundRequest) newMessage() *message.Request {
 	request := r.request
 	m := &message.Request{
@@ -142,8 +143,8 @@
 	return m
 }
 
-// serverAttempt is the one attempt of an inbound request at the local server, as the sender's hooks report it. The
-// sender calls Began, if at all, before End. Fields other than the channels may be read once ended is closed.
+// serverAttempt is the single attempt of an inbound request at the local server, as the sender's hooks report it. The
+// sender calls ResponseStarted, if at all, before End. Fields other than the channels may be read once ended is closed.
 type serverAttempt struct {
 	ended    chan struct{} // closed by End
 	streamed chan struct{} // closed when a streamed response has been forwarded, or has failed
@@ -152,8 +153,8 @@
 	reply    *message.Reply
 }
 
-// forward sends the request to the server once. It returns the response, or streams it and returns nil. ctx ends when the
-// peer cancels the request.
+// forward makes one attempt at the server. It returns the response, or streams it and returns nil. ctx ends when the
+// request is cancelled.
 func (r *inboundRequest) forward(ctx context.Context, endpoint *engine.Endpoint, deadline time.Time) *wire.ResponseT {
 	sent := r.newMessage()
 	attempt := &serverAttempt{ended: make(chan struct{}), streamed: make(chan struct{})}
@@ -169,7 +170,7 @@
 	}
 	reply := attempt.reply
 	if attempt.ending == balancer.Unreachable {
-		r.inbound.localServer.checkUnreachable(endpoint) //nolint:contextcheck // it outlasts the request
+		r.inbound.localServer.checkReachable(endpoint) //nolint:contextcheck // the check outlasts the request
 	}
 	if attempt.ending == balancer.Failure {
 		reply = sent.Failed()
@@ -177,10 +178,11 @@
 	return r.conclude(attempt.ending, reply)
 }
 
-// attemptHooks returns the hooks by which the sender reports an attempt. ctx ends when the peer cancels the request.
+// attemptHooks returns the hooks through which the sender reports the attempt. ctx ends when the request is cancelled.
 func (r *inboundRequest) attemptHooks(ctx context.Context, attempt *serverAttempt, deadline time.Time) engine.Hooks {
 	return engine.Hooks{
-		// The clock counts as well as ctx: after a process was suspended, this may run before the timer of ctx.
+		// Checks the clock as well as ctx, because after the process was suspended, this may run before the timer of
+		// ctx.
 		Finished: func() bool { return ctx.Err() != nil || time.Until(deadline) <= 0 },
 		ResponseStarted: func(reply engine.Reply) {
 			attempt.stream = reply.(*message.Stream)
@@ -197,8 +199,8 @@
 	}
 }
 
-// conclude returns the response for how the attempt ended, and records the outcome of the key's request. The key is
-// released only after endings that say that the server has certainly not run the request.
+// conclude returns the response for an attempt's ending, and records the outcome for the key. The key's lease is
+// released only if the ending proves that the server has not run the request.
 func (r *inboundRequest) conclude(ending balancer.Ending, reply *message.Reply) *wire.ResponseT {
 	response := newResponse(reply)
 	switch ending {
@@ -215,11 +217,11 @@
 		return response
 	case balancer.Overloaded:
 		response.Ending = codeOverloaded
-		r.releaseOwnedKey()
+		r.releaseHeldLease()
 		return response
 	case balancer.Unreachable, balancer.NeverSent:
 		response.Ending = codeNotAccepted
-		r.releaseOwnedKey()
+		r.releaseHeldLease()
 		return response
 	case balancer.TimedOut:
 		response.Ending = codeTimedOut
@@ -230,7 +232,7 @@
 	return response
 }
 
-// newResponse returns a server's reply as a response, which is empty for a nil reply.
+// newResponse converts a server's reply to a response. For a nil reply, the response is empty.
 func newResponse(reply *message.Reply) *wire.ResponseT {
 	if reply == nil {
 		return &wire.ResponseT{}
@@ -243,20 +245,20 @@
 	}
 }
 
-// recordOutcome records how the key's request ended, if this request holds the key's lease.
+// recordOutcome records how the request ended, if it holds the lease of its key.
 func (r *inboundRequest) recordOutcome(state keyState, response *wire.ResponseT) {
-	if r.ownsKey.Load() {
+	if r.holdsLease.Load() {
 		r.inbound.responses.finish(r.request.IdempotencyKey, r.request.Token, state, response)
 	}
 }
 
-// streamResponse forwards a response while it arrives. It ends when the response is complete, or when nobody reads it any
-// more: the peer has cancelled the request, which ends ctx, or the connection has ended, which closes the send window.
-// The request's deadline does not end it: that applies until a response has begun.
+// streamResponse forwards a response as it arrives. It ends when the response is complete, when the peer cancels the
+// request, which ends ctx, or when the connection ends, which closes the send window. The request's deadline applies
+// only until the response has begun, so it does not end the stream.
 func (r *inboundRequest) streamResponse(ctx context.Context, stream *message.Stream) {
 	defer stream.Release()
 	r.streaming.Store(true)
-	if r.sendWindow.isClosed() { // connClosed may not have seen that the response is streamed
+	if r.sendWindow.isClosed() { // connClosed may have run before streaming was set, and so not have cancelled the request
 		r.cancel(engine.ErrWithdrawn)
 	}
 	r.conn.sendResponse(&wire.ResponseT{
@@ -281,7 +283,7 @@
 	}
 }
 
-// finishStream sends the end of a streamed response, and records whether it was truncated.
+// finishStream marks the end of a streamed response to the peer, and records whether it was truncated.
 func (r *inboundRequest) finishStream(truncated bool) {
 	if truncated {
 		r.truncated.Store(true)
--- a/internal/mesh/sidecar/inbound_server.go
+++ b/internal/mesh/sidecar/inbound_server.go
@@ -16,29 +16,31 @@
 )
 
 const (
-	// serverIdleTimeout is after how long servers are assumed to close idle connections. The sidecar closes them before.
+	// serverIdleTimeout is the time after which servers are assumed to close idle connections. The sidecar closes them
+	// earlier.
 	serverIdleTimeout = 8 * time.Second
-	// serverConnectTimeout bounds a dial of the local server. Nothing has run if it passes, so it may be short.
+	// serverConnectTimeout bounds connecting to the local server. It may be short, because a request whose connection
+	// could not be opened has not run and can be retried.
 	serverConnectTimeout = 1500 * time.Millisecond
 )
 
 // inboundServer runs requests of other sidecars at the local server, and answers calls of other sidecars and of
-// operators. Each connection has a goroutine that receives, and each request one that runs it.
+// operators. There is one goroutine for each connection, which receives, and one for each request, which runs it.
 type inboundServer struct {
-	env         *environment
-	sender      *sender.Sender
-	localServer *localServer
-	responses   *responseStore
-	claims      *keyClaims
-	releases    *releaseQueue
-	maintenance *maintenanceView
-	recaller    *recaller
-	status      func() *wire.StatusT
-	ring        *logring.Ring // the latest log lines
+	env              *environment
+	sender           *sender.Sender
+	localServer      *localServer
+	responses        *responseStore
+	claims           *keyClaims
+	releases         *releaseQueue
+	maintenance      *maintenanceView
+	responseExchange *responseExchange
+	status           func() *wire.StatusT
+	ring             *logring.Ring // the latest log lines
 
 	metrics      requestMetrics
 	openRequests atomic.Int64
-	draining     atomic.Bool // new requests are rejected
+	draining     atomic.Bool // whether new requests are rejected
 
 	mu    sync.Mutex // guards conns
 	conns map[*inboundConn]bool
@@ -66,8 +68,8 @@
 	conn.receive()
 }
 
-// finishConns shuts down the connections of other sidecars, each once the peer has read all responses, or when ctx
-// ends.
+// finishConns shuts down all connections of other sidecars. It waits until each peer has read all responses, or until
+// ctx ends.
 func (s *inboundServer) finishConns(ctx context.Context) {
 	s.mu.Lock()
 	var finishing sync.WaitGroup
@@ -88,7 +90,7 @@
 			reply.Status = http.StatusBadRequest
 			break
 		}
-		reply.Body = codec.EncodeTable(s.recaller.lookUp(lookup.List[0].Key, lookup.SourceAddr))
+		reply.Body = codec.EncodeTable(s.responseExchange.lookUp(lookup.List[0].Key, lookup.SourceAddr))
 	case codec.CallHandOverKeys:
 		handover, err := parseKeyHandover(call.Body)
 		if err != nil {
@@ -100,8 +102,8 @@
 		reply.Body = codec.EncodeTable(s.status())
 	case codec.CallLogRing:
 		reply.Body = s.ring.Contents()
-	case codec.CallDrain: // any body takes the server out, an empty one lets it in again
-		s.localServer.hold(len(call.Body) > 0)
+	case codec.CallDrain: // a non-empty body drains the server, an empty one ends that
+		s.localServer.setHeldByOperator(len(call.Body) > 0)
 	default:
 		reply.Status = http.StatusNotFound
 	}
--- a/internal/mesh/sidecar/key_claim_breaker_test.go
+++ b/internal/mesh/sidecar/key_claim_breaker_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Once no lease request has been answered for a while, all but a few fail at once, so that they do not occupy capacity. After the first response
-// they may wait again.
+// If no lease request has been answered for claimStallTimeout, all but maxProbingClaims fail immediately, so that they do not occupy capacity. After
+// the first response, all may wait again.
 func TestClaimBreaker(t *testing.T) {
 	const ms = time.Millisecond
 	var b claimBreaker
@@ -24,28 +24,28 @@
 		}
 		return ok
 	}
-	for at := range 20 { // in time: as many as come
+	for at := range 20 { // before the time-out any number may wait
 		assert.Assert(t, admit(time.Duration(at)*10*ms))
 	}
-	b.finish(195*ms, false) // whose own time was short
+	b.finish(195*ms, false) // its own time-out was shorter than claimStallTimeout
 	waiting--
 	assert.Assert(t, admit(198*ms))
-	assert.Assert(t, !admit(201*ms), "none was answered for a while")
+	assert.Assert(t, !admit(201*ms), "none was answered within claimStallTimeout")
 	for ; waiting > 0; waiting-- {
 		b.finish(400*ms, false)
 	}
-	assert.Assert(t, admit(500*ms) && admit(510*ms) && !admit(520*ms), "a few probe")
+	assert.Assert(t, admit(500*ms) && admit(510*ms) && !admit(520*ms), "only maxProbingClaims may wait while the breaker is open")
 	b.finish(530*ms, true)
 	for at := range 10 {
 		assert.Assert(t, admit((540+time.Duration(at))*ms))
 	}
-	b.finish(740*ms, true) // answers come, slowly
+	b.finish(740*ms, true) // a slow response keeps the breaker closed, and starts claimStallTimeout anew
 	assert.Assert(t, admit(930*ms))
 	assert.Assert(t, !admit(941*ms))
 }
 
-// A member that is silent while a lease request waits is left long before its connection would time out.
-func TestSilentMemberIsLeftWhileClaimWaits(t *testing.T) {
+// If the followed member is silent while a lease request waits, the sidecar closes the connection long before it would time out.
+func TestSilentMemberIsAbandonedWhileClaimWaits(t *testing.T) {
 	t.Parallel()
 	s, conn, _ := newFollowingSidecar(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/mesh/sidecar/key_claims.go
+++ b/internal/mesh/sidecar/key_claims.go
@@ -14,9 +14,9 @@
 // claimRetryInterval is the pause between two attempts of a lease request.
 const claimRetryInterval = 30 * time.Millisecond
 
-// errClaimsUnanswered is the error of a lease request that failed at once because none is being answered, see
-// claimBreaker.
-const errClaimsUnanswered = errors.ConstError("keys are not granted at the moment")
+// errClaimsUnanswered is the error of a lease request that claimBreaker rejected because no lease requests are being
+// answered.
+const errClaimsUnanswered = errors.ConstError("key lease request not sent: the control plane is not answering lease requests")
 
 // keyClaims requests key leases from the control plane. Any goroutine may call claim.
 type keyClaims struct {
@@ -25,8 +25,8 @@
 	breaker      claimBreaker
 }
 
-// claim requests the lease of a key. It retries, perhaps at another member, until ctx ends. After an error the lease
-// may still be granted later.
+// claim requests the lease of a key. It retries until ctx ends, at whichever member is followed at the time. After an
+// error the lease may still be granted later.
 func (k *keyClaims) claim(ctx context.Context, request *wire.KeyLeaseRequestT) (result *wire.KeyLeaseResultT, err error) {
 	clock := k.env.clock
 	if !k.breaker.admit(clock.Now()) {
@@ -40,20 +40,20 @@
 	body := codec.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{request}})
 	for {
 		if conn := k.controlPlane.current(); conn != nil {
-			if result := k.callClaim(ctx, conn, body); result != nil {
+			if result := k.tryClaim(ctx, conn, body); result != nil {
 				return result, nil
 			}
 		}
 		select {
 		case <-time.After(claimRetryInterval):
 		case <-ctx.Done():
-			return nil, errors.Annotate(ctx.Err(), "the key was not granted in time")
+			return nil, errors.Annotate(ctx.Err(), "key lease request ended without an answer")
 		}
 	}
 }
 
-// callClaim makes one attempt of a lease request. It returns nil if there was no usable reply.
-func (k *keyClaims) callClaim(ctx context.Context, conn *transport.Conn, body []byte) *wire.KeyLeaseResultT {
+// tryClaim sends a lease request once. It returns nil if there was no valid reply.
+func (k *keyClaims) tryClaim(ctx context.Context, conn *transport.Conn, body []byte) *wire.KeyLeaseResultT {
 	reply, err := k.env.callMember(ctx, conn, codec.CallLeaseKeys, body)
 	if err != nil {
 		return nil
@@ -67,9 +67,9 @@
 	return results.List[0]
 }
 
-// reportWaiting reports to the selector whether lease requests wait, because the silence of the followed member has
-// to be detected sooner then. It posts only if that has changed. The value is read on the goroutine that handles the
-// event, so that the order of events does not matter.
+// reportWaiting tells the member selector whether lease requests are waiting, because it must then detect sooner that
+// the followed member is silent. It posts an event only if that has changed. The goroutine that handles the event reads
+// the value again, so that the order of events does not matter.
 func (k *keyClaims) reportWaiting() {
 	if _, changed := k.breaker.checkWaiting(); !changed {
 		return
--- a/internal/mesh/sidecar/key_lease.go
+++ b/internal/mesh/sidecar/key_lease.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	// claimTimeout bounds a lease request, in addition to half of the time of its request.
+	// claimTimeout bounds the time of a lease request. Half of the time of the request that needs the lease bounds it,
+	// too.
 	claimTimeout = 400 * time.Millisecond
-	// leaseSlack is how much longer than its window a key is leased, because the window begins when its request is
-	// sent, before the lease.
+	// leaseSlack is how much longer than the key's window the lease lasts, because the window begins earlier: when the
+	// request is sent.
 	leaseSlack = 2 * time.Second
 )
 
-// keyLeaseTime returns how long a key is leased: its window in the settings, and leaseSlack.
+// keyLeaseTime returns the duration of a key's lease: the key window of the settings plus leaseSlack.
 func (e *environment) keyLeaseTime() time.Duration {
 	return e.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
 }
 
-// leaseHolder names this incarnation of the sidecar as the holder of key leases. It includes the incarnation because a
-// sidecar that has restarted knows nothing of the leases that it held before.
+// leaseHolder returns the name by which the control plane knows this sidecar as the holder of key leases. It includes
+// the incarnation, because a restarted sidecar has lost its records of the leases that it held before.
 func (e *environment) leaseHolder() string { return e.addr() + "/" + e.incarnation }
 
-// holderAddr returns the address of the sidecar that leaseHolder names.
+// holderAddr returns the address of the sidecar from a name that leaseHolder made.
 func holderAddr(holder string) string {
 	addr, _, _ := strings.Cut(holder, "/")
 	return addr
 }
 
-// tokenSource makes the tokens that identify a keyed call to the control plane. The client's Attempt-Id would not do:
-// if a client used an ID twice, two calls would count as one, and an attempt of the second would be granted the lease
-// that the first holds. Any goroutine may call next.
+// tokenSource generates the tokens that identify keyed calls to the control plane. The client's Attempt-Id is not
+// suitable: if a client reused an ID, the control plane would take two calls for one, and would grant an attempt of the
+// second call the lease that the first holds. Any goroutine may call next.
 type tokenSource struct {
 	incarnation string
 	last        atomic.Uint64
 }
 
-// next returns a token that no other call in the mesh has.
+// next returns a token that is unique in the mesh.
 func (t *tokenSource) next() string {
 	return t.incarnation + strconv.FormatUint(t.last.Add(1), tokenBase)
 }
 
-// tokenBase is the numeral base of the count in a token. It is the largest that strconv has, for short tokens.
+// tokenBase is the numeral base of the counter in a token. It is the largest that strconv supports, which keeps tokens
+// short.
 const tokenBase = 36
 
-// claimKey leases the request's key, so that no other request with the key may run. It returns nil if this request may
-// run, and otherwise its response. It is called before the first byte goes to the server: if there is no lease, nothing
-// has run.
+// claimKey obtains the lease of the request's key, so that no other request with the key may run. It returns nil if
+// this request may run, and otherwise the response to it. It is called before any byte is sent to the server, so a
+// request without the lease has not run.
 func (r *inboundRequest) claimKey(ctx context.Context) *wire.ResponseT {
 	server, request := r.inbound, r.request
 	window := server.env.keyLeaseTime()
@@ -65,8 +67,8 @@
 	result, err := server.claims.claim(ctx, r.newLeaseRequest(window))
 	switch {
 	case err != nil:
-		// The lease may still be granted. The request will not run, so the lease is released.
-		r.releaseKey()
+		// The lease may still be granted later. It is released, because the request will not run.
+		r.releaseLease()
 		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	case result.Granted:
 		server.responses.setState(request.IdempotencyKey, keyRunning, nil)
@@ -79,20 +81,21 @@
 	return r.holderResponse(ctx, result.Holder)
 }
 
-// holderResponse returns the response according to what the holder of the key's lease knows about it.
+// holderResponse returns the response to a request whose key is leased to another holder. It depends on the holder's
+// record of the key.
 func (r *inboundRequest) holderResponse(ctx context.Context, holder string) *wire.ResponseT {
 	server := r.inbound
 	addr := holderAddr(holder)
 	if addr == server.env.addr() && server.maintenance.successorOf(addr) == "" {
-		return r.lostResponse() // an earlier incarnation of this sidecar held the lease, and its records ended with it
+		return r.lostResponse() // the holder is an earlier incarnation of this sidecar, whose records are lost
 	}
-	record, err := server.recaller.recall(ctx, addr, r.request.IdempotencyKey)
+	record, err := server.responseExchange.fetch(ctx, addr, r.request.IdempotencyKey)
 	switch {
 	case err != nil || record.OutcomeUnknown || !record.Found:
 		return r.lostResponse()
 	case record.Running:
 		return r.inProgressResponse()
-	case record.Status == 0: // it never ran, and the key is being released
+	case record.Status == 0: // the request never ran, and the lease is being released
 		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	}
 	return r.replayResponse(&wire.ResponseT{
@@ -103,7 +106,7 @@
 	})
 }
 
-// repeatResponse returns the response to a request whose key was claimed here before.
+// repeatResponse returns the response to a request whose key was claimed before at this sidecar.
 func (r *inboundRequest) repeatResponse(earlier keyRecord) *wire.ResponseT {
 	switch {
 	case earlier.state == keyClaiming || earlier.state == keyRunning:
@@ -114,10 +117,10 @@
 	return r.lostResponse()
 }
 
-// replayResponse returns the response of the run that there was, for this attempt.
-func (r *inboundRequest) replayResponse(first *wire.ResponseT) *wire.ResponseT {
-	response := &wire.ResponseT{Status: first.Status, Body: first.Body, ContentLength: first.ContentLength}
-	for _, f := range first.HeaderFields {
+// replayResponse returns the stored response of the request that ran, with this attempt's ID.
+func (r *inboundRequest) replayResponse(stored *wire.ResponseT) *wire.ResponseT {
+	response := &wire.ResponseT{Status: stored.Status, Body: stored.Body, ContentLength: stored.ContentLength}
+	for _, f := range stored.HeaderFields {
 		if f.Name != headerAttemptID {
 			response.HeaderFields = append(response.HeaderFields, f)
 		}
@@ -126,18 +129,18 @@
 	return response
 }
 
-// inProgressResponse returns the response to a repeat of a request that runs.
+// inProgressResponse returns the response to a repeat of a request that is still running.
 func (r *inboundRequest) inProgressResponse() *wire.ResponseT {
 	return r.localResponse(http.StatusConflict, "a request with the key is in flight")
 }
 
-// lostResponse returns the response to a repeat of a request that may have run, and whose response is not stored. The
-// request is not run again.
+// lostResponse returns the response to a repeat of a request that has or may have run, and whose response is not
+// available. The request is not run again.
 func (r *inboundRequest) lostResponse() *wire.ResponseT {
 	return r.localResponse(http.StatusBadGateway, "the key's request has run, or may have, and its answer is lost")
 }
 
-// localResponse returns a response of the sidecar itself in place of the server's.
+// localResponse returns a plain-text response that the sidecar itself generates in place of the server.
 func (r *inboundRequest) localResponse(status int, text string) *wire.ResponseT {
 	fields := []*wire.HeaderFieldT{
 		{Name: headerAttemptID, Value: r.request.AttemptId},
@@ -151,22 +154,22 @@
 	}
 }
 
-// releaseOwnedKey releases the key if this request holds its lease. The request must not have run.
-func (r *inboundRequest) releaseOwnedKey() {
-	if r.ownsKey.Load() {
-		r.releaseKey()
+// releaseHeldLease releases the key's lease if this request holds it. The request must not have run.
+func (r *inboundRequest) releaseHeldLease() {
+	if r.holdsLease.Load() {
+		r.releaseLease()
 	}
 }
 
-// releaseKey records that the request never ran, and queues the release of the key's lease.
-func (r *inboundRequest) releaseKey() {
+// releaseLease records that the request never ran, and queues the release of the key's lease.
+func (r *inboundRequest) releaseLease() {
 	r.inbound.responses.markNotExecuted(r.request.IdempotencyKey)
 	release := r.newLeaseRequest(0)
 	release.Release = true
 	r.inbound.releases.add(release)
 }
 
-// newLeaseRequest returns a request for the lease of the key, for a window from now.
+// newLeaseRequest returns a request to lease the key for the given window.
 func (r *inboundRequest) newLeaseRequest(window time.Duration) *wire.KeyLeaseRequestT {
 	return &wire.KeyLeaseRequestT{
 		Key:      r.request.IdempotencyKey,
--- a/internal/mesh/sidecar/key_record.go
+++ b/internal/mesh/sidecar/key_record.go
@@ -11,11 +11,11 @@
 type keyState uint8
 
 const (
-	keyClaiming       keyState = iota // it may not have run yet
-	keyRunning                        // its lease was granted
-	keyAnswered                       // it ran; its response is stored unless it was too large or evicted
-	keyOutcomeUnknown                 // it may have run, and its response is lost
-	keyNotExecuted                    // it never ran, and never will with that token
+	keyClaiming       keyState = iota // its lease was requested; the request has not run yet
+	keyRunning                        // its lease was granted; the request may be running
+	keyAnswered                       // the request ran; its response is stored unless it was too large or evicted
+	keyOutcomeUnknown                 // the request may have run, and its response is lost
+	keyNotExecuted                    // the request never ran, and will never run with that token
 )
 
 // String implements fmt.Stringer.
@@ -35,17 +35,17 @@
 	return fmt.Sprintf("keyState(%d)", uint8(s))
 }
 
-// keyRecord is what is known of a key that was claimed here.
+// keyRecord is the record of a key that was claimed at this sidecar.
 type keyRecord struct {
 	token     string
-	attempt   uint32 // of the call that token identifies, from 0
+	attempt   uint32 // number of the attempt of the call that token identifies, from 0
 	state     keyState
-	response  *wire.ResponseT // of keyAnswered, or nil if it was evicted or too large
+	response  *wire.ResponseT // set only in state keyAnswered; nil there if it was evicted or too large
 	claimedAt time.Time       // when the lease was requested, which is before it was granted
 }
 
-// wireRecord returns a record in the form that other sidecars are sent. There a status of 0 says that the request never
-// ran.
+// wireRecord converts a record to the wire format. A found record with status 0, and neither Running nor
+// OutcomeUnknown, means that the request never ran.
 func wireRecord(r *keyRecord) *wire.StoredResponseT {
 	switch {
 	case r.state == keyNotExecuted:
--- a/internal/mesh/sidecar/key_releases.go
+++ b/internal/mesh/sidecar/key_releases.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxPendingReleases bounds the queue; keys beyond it stay leased for their window.
+	// maxPendingReleases bounds the queue. Releases beyond it are dropped, and their keys stay leased for their window.
 	maxPendingReleases = 4096
 	// releaseRetryInterval is the pause between two attempts to send the same releases.
 	releaseRetryInterval = 50 * time.Millisecond
 )
 
-// errNoMember says that no control-plane member has been followed yet.
-const errNoMember = errors.ConstError("no control-plane member is followed")
+// errNoMember is the error of a release that could not be sent because no control-plane member has been followed yet.
+const errNoMember = errors.ConstError("key releases not sent: not connected to any control-plane member yet")
 
-// releaseQueue holds the keys whose leases have to be released because their requests never ran. The goroutine of run
-// sends the releases in order, and repeats each until it is acknowledged.
+// releaseQueue queues releases of key leases whose requests never ran. The goroutine of run sends the releases in
+// order, and retries until they are acknowledged.
 type releaseQueue struct {
 	env          *environment
 	controlPlane *controlPlaneConn
@@ -36,7 +36,7 @@
 	return &releaseQueue{env: env, controlPlane: controlPlane, wake: make(chan struct{}, 1)}
 }
 
-// add queues the release of a key. It is sent as soon as a member is followed.
+// add queues the release of a key, unless the queue is full. It is sent once a control-plane member is followed.
 func (q *releaseQueue) add(release *wire.KeyLeaseRequestT) {
 	q.mu.Lock()
 	if len(q.pending) < maxPendingReleases {
@@ -49,13 +49,13 @@
 	}
 }
 
-// take removes and returns all pending releases.
-func (q *releaseQueue) take() []*wire.KeyLeaseRequestT {
+// takePending removes all pending releases from the queue and returns them.
+func (q *releaseQueue) takePending() []*wire.KeyLeaseRequestT {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	taken := q.pending
+	releases := q.pending
 	q.pending = nil
-	return taken
+	return releases
 }
 
 // run sends releases until the sidecar ends.
@@ -67,17 +67,17 @@
 			return
 		}
 		for q.env.ctx.Err() == nil {
-			releases := q.take()
+			releases := q.takePending()
 			if len(releases) == 0 {
 				break
 			}
-			q.sendUntilTaken(releases)
+			q.sendUntilAcknowledged(releases)
 		}
 	}
 }
 
-// sendUntilTaken repeats releases until a member has acknowledged them or the sidecar ends.
-func (q *releaseQueue) sendUntilTaken(releases []*wire.KeyLeaseRequestT) {
+// sendUntilAcknowledged sends releases repeatedly until a member has acknowledged them or the sidecar ends.
+func (q *releaseQueue) sendUntilAcknowledged(releases []*wire.KeyLeaseRequestT) {
 	for {
 		err := q.send(releases)
 		if err == nil || q.env.ctx.Err() != nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// send sends releases once to the followed member. The error is errNoMember if none is followed yet, a statusError, or
-// that of the connection.
+// send sends releases once to the followed member. It returns errNoMember if none is followed yet, a statusError if the
+// member rejects them, or the error of the connection.
 func (q *releaseQueue) send(releases []*wire.KeyLeaseRequestT) error {
 	conn := q.controlPlane.conn.Load()
 	if conn == nil {
--- a/internal/mesh/sidecar/key_releases_test.go
+++ b/internal/mesh/sidecar/key_releases_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// nextClaims returns the next call of a sidecar for key leases, as the member receives it.
-func nextClaims(t *testing.T, far *transport.Conn) (call *wire.CallT, keys []string) {
+// nextReleases receives the next call that releases key leases at the member, and returns it with its keys.
+func nextReleases(t *testing.T, far *transport.Conn) (call *wire.CallT, keys []string) {
 	t.Helper()
 	for {
 		m, err := far.Receive()
@@ -29,20 +29,20 @@
 	}
 }
 
-// Releases are sent in order, and repeated until a member has acknowledged them.
+// Releases are sent in order, and again until a member has acknowledged them.
 func TestReleasesAreSentUntilAcknowledged(t *testing.T) {
 	s, _, far := newFollowingSidecar(t)
 	s.releases.add(&wire.KeyLeaseRequestT{Key: "a", Release: true})
 	s.releases.add(&wire.KeyLeaseRequestT{Key: "b", Release: true})
 	go s.releases.run()
-	call, keys := nextClaims(t, far)
+	call, keys := nextReleases(t, far)
 	assert.DeepEqual(t, keys, []string{"a", "b"})
 	s.releases.add(&wire.KeyLeaseRequestT{Key: "c", Release: true})
 	far.Send(&wire.CallReplyT{Id: call.Id, Status: http.StatusServiceUnavailable})
-	call, keys = nextClaims(t, far)
+	call, keys = nextReleases(t, far)
 	assert.DeepEqual(t, keys, []string{"a", "b"})
 	far.Send(&wire.CallReplyT{Id: call.Id, Status: http.StatusOK})
-	_, keys = nextClaims(t, far)
+	_, keys = nextReleases(t, far)
 	assert.DeepEqual(t, keys, []string{"c"})
 }
 
@@ -51,6 +51,6 @@
 	for range maxPendingReleases + 1 {
 		q.add(&wire.KeyLeaseRequestT{})
 	}
-	assert.Equal(t, len(q.take()), maxPendingReleases)
-	assert.Equal(t, len(q.take()), 0)
+	assert.Equal(t, len(q.takePending()), maxPendingReleases)
+	assert.Equal(t, len(q.takePending()), 0)
 }
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -13,28 +13,28 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record about it that
-// other sidecars are sent. The state that the server reports counts, unless an operator or maintenance has taken it
-// out.
+// localServer is the state of the application server beside this sidecar, learned from its heartbeats and from health
+// checks, and the directory record of it that is sent to other sidecars. The server's reported state applies unless an
+// operator or a maintenance order has taken it out of service.
 type localServer struct {
-	env          *environment
-	sender       *sender.Sender
-	metrics      *requestMetrics
-	directory    *directoryView
-	controlPlane *controlPlaneConn
-	isProbing    atomic.Bool // whether anything listens at the server's address
-
-	mu             sync.Mutex // guards below
-	current        directory.Record
-	endpoint       *engine.Endpoint // nil if no server is known
-	instances      instanceTracker
-	leaving        bool                  // the sidecar is shutting down
-	reportedState  directory.ServerState // by the server itself
-	heldByOperator bool
-	inMaintenance  bool
-	outReason      string // why the server is out, for operators; empty if it is not
-
-	published atomic.Pointer[directory.Record] // current as it was sent last; read without mu
+	env                   *environment
+	sender                *sender.Sender
+	metrics               *requestMetrics
+	directory             *directoryView
+	controlPlane          *controlPlaneConn
+	reachabilityCheckRuns atomic.Bool // at most one checkReachable runs at a time
+
+	mu                sync.Mutex // guards below
+	current           directory.Record
+	endpoint          *engine.Endpoint // nil if no server is known
+	instances         instanceTracker
+	leaving           bool                  // whether the sidecar is shutting down
+	reportedState     directory.ServerState // as the server itself reported it last
+	heldByOperator    bool
+	inMaintenance     bool
+	unavailableReason string // why the server takes no requests, for operators; empty if it does
+
+	published atomic.Pointer[directory.Record] // the record that was published last; may be read without mu
 }
 
 func newLocalServer(env *environment, s *sender.Sender, metrics *requestMetrics) *localServer {
@@ -59,10 +59,10 @@
 	return l
 }
 
-// record returns the record that other sidecars were sent last.
+// record returns the record that was published last.
 func (s *localServer) record() directory.Record { return *s.published.Load() }
 
-// publish sends the changed record to the other sidecars. The caller holds mu.
+// publish sends the current record with the next sequence number to the other sidecars. The caller holds mu.
 func (s *localServer) publish() {
 	s.current.Sequence++
 	record := s.current
@@ -74,15 +74,15 @@
 		s.env.log.Info().Str("server_id", record.ServerID).Uint8("state", uint8(record.State)).
 			Bool("leaving", record.Leaving).Dur("warmup_ms", record.Warmup).Msg("local server changed")
 	}
-	go func() { // mergeRecords may call supersede, which takes mu
+	go func() { // in a goroutine because mergeRecords may call raiseIncarnation, which locks mu
 		s.directory.mergeRecords([]directory.Record{record})
 		s.controlPlane.sendRecord(record)
 	}()
 }
 
-// supersede raises this sidecar's incarnation above the one that the directory has. That one may be higher because
-// the clock was set back.
-func (s *localServer) supersede(incarnation uint64) {
+// raiseIncarnation raises the record's incarnation above the given one, which the directory has for this sidecar. The
+// directory's incarnation is higher if the clock was set back before this process started.
+func (s *localServer) raiseIncarnation(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation > s.current.Incarnation {
@@ -91,7 +91,7 @@
 	}
 }
 
-// endpointOf returns the server's endpoint if the server is a given instance, and otherwise nil.
+// endpointOf returns the server's endpoint if the given instance is the current one, and otherwise nil.
 func (s *localServer) endpointOf(instance string) *engine.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +101,8 @@
 	return s.endpoint
 }
 
-// leave announces that this sidecar is shutting down, so that the others send it nothing more.
-func (s *localServer) leave() {
+// announceLeaving publishes that this sidecar is shutting down, so that the other sidecars stop sending it requests.
+func (s *localServer) announceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -110,8 +110,9 @@
 	s.publish()
 }
 
-// heartbeat applies a heartbeat of the server. A heartbeat that was overtaken by a later one, or that comes after the
-// instance has left or was replaced, changes nothing (instanceTracker). The error is an api.Error for a heartbeat that names no server.
+// heartbeat applies a heartbeat of the server. It ignores a heartbeat that was overtaken by a later one, or whose
+// instance has left or was replaced (see instanceTracker). It returns an api.Error if the heartbeat lacks a valid ID or
+// an address.
 func (s *localServer) heartbeat(id string, heartbeat Heartbeat) error {
 	if id == "" || len(id) > maxIDBytes || heartbeat.Address == "" {
 		return api.NewError(http.StatusBadRequest, "a beat without id or Address")
@@ -122,7 +123,7 @@
 	if effect == heartbeatIgnored {
 		return nil
 	}
-	if effect == heartbeatOfNext || s.endpoint == nil || s.endpoint.Addr != heartbeat.Address {
+	if effect == heartbeatOfSuccessor || s.endpoint == nil || s.endpoint.Addr != heartbeat.Address {
 		s.replaceInstance(id, heartbeat)
 	}
 	state := directory.ServerReady
@@ -133,7 +134,8 @@
 	return nil
 }
 
-// replaceInstance makes another instance, or the same one at another address, the local server. The caller holds mu.
+// replaceInstance replaces the local server by another instance, or by the same one at a new address. The caller holds
+// mu.
 func (s *localServer) replaceInstance(id string, heartbeat Heartbeat) {
 	if s.endpoint != nil {
 		s.stopSending()
@@ -149,8 +151,8 @@
 	s.current.Slots = uint32(max(0, heartbeat.SystemInfo.SlotCount))
 }
 
-// applyReportedState applies the state that the server reports, and publishes the record if that changes it. The
-// caller holds mu.
+// applyReportedState applies the state that the server reports, and publishes the record if its state changes. An
+// operator or maintenance overrides the state ready by draining. The caller holds mu.
 func (s *localServer) applyReportedState(state directory.ServerState) {
 	s.reportedState = state
 	reason := ""
@@ -168,7 +170,7 @@
 		return
 	}
 	s.current.State = state
-	s.outReason = reason
+	s.unavailableReason = reason
 	if state == directory.ServerReady {
 		s.endpoint.SetUsable(true)
 	} else {
@@ -177,44 +179,46 @@
 	s.publish()
 }
 
-// stopSending makes the endpoint unusable: from now on no attempt begins, because each asks at the moment of writing
-// (engine.Attempt.MayWrite). It closes idle connections; open requests go on. The caller holds mu, and there is an endpoint.
+// stopSending makes the endpoint unusable and closes its idle connections. No further attempt is written to the server,
+// because each checks the endpoint immediately before writing (engine.Attempt.MayWrite). Requests that were already
+// written continue. The caller holds mu, and endpoint is not nil.
 func (s *localServer) stopSending() {
 	s.endpoint.SetUsable(false)
 	s.sender.Drop(s.endpoint)
 }
 
-// reapplyReportedState applies a change of heldByOperator or inMaintenance. The caller holds mu.
+// reapplyReportedState updates the record after a change of heldByOperator or inMaintenance. The caller holds mu.
 func (s *localServer) reapplyReportedState() {
 	if s.endpoint != nil && s.current.State != directory.ServerDown {
 		s.applyReportedState(s.reportedState)
 	}
 }
 
-// hold takes the server out on behalf of an operator, as if the server had reported that it drains, or lets it in
-// again. It lasts until the sidecar restarts.
-func (s *localServer) hold(out bool) {
+// setHeldByOperator sets whether an operator holds the server out of service, which then counts as draining. The
+// setting is lost when the sidecar restarts.
+func (s *localServer) setHeldByOperator(held bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heldByOperator = out
+	s.heldByOperator = held
 	s.reapplyReportedState()
 }
 
-// setMaintenance is hold on behalf of a maintenance order, for as long as the control plane says so.
-func (s *localServer) setMaintenance(out bool) {
+// setMaintenance sets whether a maintenance order holds the server out of service. The control plane decides that. When
+// maintenance begins, the request metrics are reset.
+func (s *localServer) setMaintenance(inMaintenance bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.inMaintenance == out {
+	if s.inMaintenance == inMaintenance {
 		return
 	}
-	s.inMaintenance = out
-	if out {
+	s.inMaintenance = inMaintenance
+	if inMaintenance {
 		s.metrics.reset()
 	}
 	s.reapplyReportedState()
 }
 
-// deregister handles the call with which an instance leaves.
+// deregister handles the call by which an instance announces that it leaves for good.
 func (s *localServer) deregister(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,21 +227,25 @@
 		s.endpoint = nil
 		s.current.ServerID = ""
 		s.current.State = directory.ServerNone
-		s.outReason = "it has left"
+		s.unavailableReason = "it has left"
 		s.publish()
 	}
 }
 
-// localServerStatus is the part of the sidecar's status about its local server.
+// localServerStatus is the local server's part of the sidecar's status.
 type localServerStatus struct {
-	record    directory.Record
-	outReason string
-	held      bool // by an operator or for maintenance
+	record            directory.Record
+	unavailableReason string
+	held              bool // out of service by an operator or for maintenance
 }
 
-// status returns the state of the server for the sidecar's status. Any goroutine may call it.
+// status returns the server's part of the sidecar's status. Any goroutine may call it.
 func (s *localServer) status() localServerStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return localServerStatus{record: s.current, outReason: s.outReason, held: s.heldByOperator || s.inMaintenance}
+	return localServerStatus{
+		record:            s.current,
+		unavailableReason: s.unavailableReason,
+		held:              s.heldByOperator || s.inMaintenance,
+	}
 }
--- a/internal/mesh/sidecar/local_server_api.go
+++ b/internal/mesh/sidecar/local_server_api.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// maxLocalCallBytes bounds the body of a call, and localCallTimeout the time that reading and answering it may take.
+	// maxLocalCallBytes bounds the body of a call, and localCallTimeout the time to read and answer it.
 	maxLocalCallBytes = 16 << 10
 	localCallTimeout  = time.Second
 )
 
-// stateDraining is the state of a server that is about to leave. Every other state counts as ready.
+// stateDraining is the State of a server that is about to leave. Every other value counts as ready.
 const stateDraining = "draining"
 
-// Heartbeat is the body of the call that a server makes to the sidecar beside it, once at each interval of the settings
-// (HeartbeatS).
+// Heartbeat is the body of the call that a server makes to the sidecar beside it. A server makes one at each interval
+// that the settings give (HeartbeatS).
 type Heartbeat struct {
-	Address    string            `json:"Address"` // host:port, where it takes requests
+	Address    string            `json:"Address"` // host:port at which the server accepts requests
 	SystemInfo SystemInfo        `json:"SystemInfo"`
 	OperStatus OperationalStatus `json:"OperStatus"`
 }
 
-// SystemInfo is what a server is.
+// SystemInfo describes a server.
 type SystemInfo struct {
 	Service       string `json:"Service"`
 	ConfigVersion string `json:"ConfigVersion"`
 	Zone          string `json:"Zone"`
-	SlotCount     int    `json:"SlotCount"` // requests that it runs at once
+	SlotCount     int    `json:"SlotCount"` // number of requests that it can run concurrently
 }
 
-// OperationalStatus is the state of a server.
+// OperationalStatus is the current state of a server.
 type OperationalStatus struct {
 	State       string         `json:"State"`       // stateDraining if the server is about to leave
-	CallSeq     int64          `json:"CallSeq"`     // rises with each call; a call with a lower one was overtaken
-	WarmupLeftS config.Seconds `json:"WarmupLeftS"` // until the server takes its full share
+	CallSeq     int64          `json:"CallSeq"`     // increases with each call; a call with a lower number was overtaken
+	WarmupLeftS config.Seconds `json:"WarmupLeftS"` // seconds until the server can take its full share of requests
 }
 
-// handler serves the calls of the local server.
+// handler returns the HTTP handler for calls of the local server.
 func (s *localServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/endpoints/{id}/heartbeat", api.NewHandler(maxLocalCallBytes, localCallTimeout,
--- a/internal/mesh/sidecar/local_server_health.go
+++ b/internal/mesh/sidecar/local_server_health.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// minWatchInterval bounds the interval at which missed heartbeats are checked for, which is half of the heartbeats'
-	// interval.
+	// minWatchInterval is the lower bound of the interval between two checks for missed heartbeats, which otherwise is
+	// half of the heartbeat interval.
 	minWatchInterval = 100 * time.Millisecond
-	// recordRefreshInterval is how often the record is sent again without a change.
+	// recordRefreshInterval is the time after which an unchanged record is sent again.
 	recordRefreshInterval = 5 * time.Second
-	// probeTimeout bounds the one health check at the start.
+	// probeTimeout bounds the health check at the start.
 	probeTimeout = time.Second
 )
 
-// checkUnreachable checks, after an attempt could not connect, whether anything listens at the server's address. If
-// not, the other sidecars learn of it at once rather than after missed heartbeats. Its goroutine ends within
-// serverConnectTimeout; one runs at a time.
-func (s *localServer) checkUnreachable(endpoint *engine.Endpoint) {
-	if !s.isProbing.CompareAndSwap(false, true) {
+// checkReachable starts a check whether anything listens at the server's address, after an attempt could not connect.
+// If not, it publishes that the server is down, so that the other sidecars need not wait for missed heartbeats. The
+// check's goroutine ends within serverConnectTimeout. At most one check runs at a time.
+func (s *localServer) checkReachable(endpoint *engine.Endpoint) {
+	if !s.reachabilityCheckRuns.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.isProbing.Store(false)
+		defer s.reachabilityCheckRuns.Store(false)
 		conn, err := net.DialTimeout("tcp4", endpoint.Addr, serverConnectTimeout)
 		if err == nil {
 			conn.Close()
@@ -44,13 +44,13 @@
 	}()
 }
 
-// markDown records that the server can't be reached, and why. The caller holds mu.
+// markDown records that the server is down, with the reason for operators. The caller holds mu.
 func (s *localServer) markDown(reason string) {
 	s.current.State = directory.ServerDown
-	s.outReason = reason
+	s.unavailableReason = reason
 }
 
-// probe learns the server's instance from its health check, if no heartbeat has come yet since the sidecar started.
+// probe discovers the server's instance by a health check, unless a heartbeat has arrived since the sidecar started.
 func (s *localServer) probe(path string) {
 	s.mu.Lock()
 	known := s.endpoint != nil
@@ -65,8 +65,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.instances.probed(id, time.Now()) {
-		return // a heartbeat has come meanwhile, or the instance has left
+	if !s.instances.applyProbe(id, time.Now()) {
+		return // a heartbeat arrived in the meantime, or the instance has left
 	}
 	s.endpoint = engine.NewEndpoint(id, set.AppAddress)
 	s.current.ServerID = id
@@ -74,7 +74,7 @@
 	s.applyReportedState(directory.ServerReady)
 }
 
-// probeInstance returns the ID of the instance that answers a health check, or "" if no healthy one does.
+// probeInstance returns the ID of the instance that passes a health check at url, or "" if none does.
 func (s *localServer) probeInstance(url string) string {
 	ctx, cancel := context.WithTimeout(s.env.ctx, probeTimeout)
 	defer cancel()
@@ -95,8 +95,9 @@
 	return id
 }
 
-// watch detects missed heartbeats, refreshes the record at the other sidecars, and expires records of the directory,
-// until the sidecar ends.
+// watch runs until the sidecar ends. It periodically checks for missed heartbeats, refreshes the record at the other
+// sidecars, closes the sender's expired connections and, while the control plane is reachable, expires records of the
+// directory.
 func (s *localServer) watch() {
 	ticker := time.NewTicker(max(minWatchInterval, s.env.settings.Load().HeartbeatS.Duration()/2))
 	defer ticker.Stop()
@@ -117,8 +118,8 @@
 	}
 }
 
-// checkHeartbeat marks the server as down if too many heartbeats were missed. It publishes the record if that is so
-// or refreshDue is set, and reports whether it did.
+// checkHeartbeat marks the server as down if too many heartbeats were missed. It publishes the record in that case, and
+// also if refreshDue is set. It reports whether it published the record.
 func (s *localServer) checkHeartbeat(refreshDue bool) (published bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/local_server_instances.go
+++ b/internal/mesh/sidecar/local_server_instances.go
@@ -3,107 +3,111 @@
 import "time"
 
 const (
-	// maxFormerInstances is how many former instances are remembered. Beyond it all are forgotten, so that memory is
-	// bounded however often a server restarts.
-	maxFormerInstances = 64
-	// maxFirstCallSeq is the highest CallSeq of an instance that has only just started: an instance counts its calls
-	// from its start, and a few may be lost.
+	// maxInstanceRecords is how many instances are remembered. If there are more, all but the current one are
+	// forgotten, so that memory is bounded however often a server restarts.
+	maxInstanceRecords = 64
+	// maxFirstCallSeq is the highest CallSeq of an instance that counts as just started. An instance numbers its calls
+	// from its start, and the first few may be lost.
 	maxFirstCallSeq = 3
-	// callSeqUnknown is lower than the sequence number of any heartbeat, so that the first one counts.
+	// callSeqUnknown is lower than the CallSeq of any heartbeat, so that the first heartbeat is applied.
 	callSeqUnknown = -1
-	// maxMissedHeartbeats is how many heartbeats a server may miss before it counts as gone, and heartbeatSlack the time
-	// besides, for heartbeats that are late.
+	// maxMissedHeartbeats is how many heartbeats a server may miss before it counts as gone. heartbeatSlack is added to
+	// that time for delayed heartbeats.
 	maxMissedHeartbeats = 3
 	heartbeatSlack      = 500 * time.Millisecond
 )
 
-// heartbeatEffect says what a heartbeat is to the instance that is known.
+// heartbeatEffect is the effect of a heartbeat on the current instance.
 type heartbeatEffect int
 
 const (
-	heartbeatIgnored   heartbeatEffect = iota // overtaken, or late of an instance that has ended
-	heartbeatOfCurrent                        // of the current instance
-	heartbeatOfNext                           // its instance is the current one from now on
+	heartbeatIgnored     heartbeatEffect = iota // it was overtaken, or its instance is not the current one
+	heartbeatOfCurrent                          // it belongs to the current instance
+	heartbeatOfSuccessor                        // its instance has become the current one
 )
 
-// formerInstance is what is remembered of an instance, the current one included.
-type formerInstance struct {
-	callSeq      int64 // highest one that was received
-	deregistered bool  // it has said itself that it leaves
+// instanceRecord is what is remembered of a current or former instance.
+type instanceRecord struct {
+	callSeq      int64 // highest CallSeq that was received
+	deregistered bool  // whether the instance has announced that it leaves
 }
 
-// instanceTracker decides which instance of the local server is the current one. It is pure: the time is an argument.
+// instanceTracker decides which instance of the local server is the current one. It does no I/O and reads no clock.
 //
-// A heartbeat may come seconds late, so one of another instance may be the first of the next instance, or a late one of
-// a former instance. A former one is known unless this sidecar has restarted since it ended. Its CallSeq says nothing
-// then: it may be higher than that of the current instance. So another instance takes over at once only if its CallSeq
-// says that it has just started, or if the current one is silent. Otherwise it takes over with a later heartbeat if none
-// of the current instance has come in between. No instance but one that has deregistered is excluded for good: if a
-// former one did take over, heartbeats of the living one take over in turn.
+// Heartbeats may arrive seconds late. So a heartbeat of another instance than the current one may be the first of the
+// next instance, or a late one of a former instance. Former instances are remembered, except those that ended before
+// this sidecar restarted. The CallSeq does not tell such an instance from the next one, since it may be higher than
+// that of the current instance. So another instance becomes the current one immediately only if its CallSeq shows that
+// it has just started, or if the current instance is silent. Otherwise it becomes the current one by a later heartbeat,
+// if none of the current instance arrives in between. Only instances that have deregistered are excluded as long as
+// they are remembered: if a former instance did become the current one, heartbeats of the running instance replace it
+// again in the same way.
 type instanceTracker struct {
-	current       string // ID; empty if no server is known
+	current       string // instance ID; empty if no server is known
 	lastHeartbeat time.Time
-	known         map[string]formerInstance
+	records       map[string]instanceRecord // by instance ID
 
-	// challenger is another instance whose heartbeats have come since the latest one of the current instance.
-	challenger      string
-	challengerSince time.Time
+	// candidate is another instance that has sent heartbeats since the latest heartbeat of the current instance, the
+	// first of them at candidateSince.
+	candidate      string
+	candidateSince time.Time
 }
 
 func newInstanceTracker() instanceTracker {
-	return instanceTracker{known: map[string]formerInstance{}}
+	return instanceTracker{records: map[string]instanceRecord{}}
 }
 
-// heartbeat applies a heartbeat that came now. Heartbeats of an instance come at the given interval.
+// heartbeat applies a heartbeat that arrived now. An instance sends heartbeats at the given interval.
 func (t *instanceTracker) heartbeat(id string, callSeq int64, now time.Time, interval time.Duration) heartbeatEffect {
-	former, known := t.known[id]
+	former, known := t.records[id]
 	if known && (former.deregistered || callSeq <= former.callSeq) {
 		return heartbeatIgnored
 	}
-	t.remember(id, formerInstance{callSeq: callSeq})
+	t.remember(id, instanceRecord{callSeq: callSeq})
 	switch {
 	case id == t.current:
 		t.setCurrent(id, now)
 		return heartbeatOfCurrent
-	case t.current == "", !known && callSeq <= maxFirstCallSeq, t.isSilent(now, interval), t.challenge(id, now, interval):
+	case t.current == "", !known && callSeq <= maxFirstCallSeq, t.isSilent(now, interval), t.considerCandidate(id, now, interval):
 		t.setCurrent(id, now)
-		return heartbeatOfNext
+		return heartbeatOfSuccessor
 	}
 	return heartbeatIgnored
 }
 
-// challenge notes a heartbeat of another instance. It reports whether that instance takes over: its heartbeats have come
-// for half an interval, and none of the current one. Late heartbeats that are delivered together do not suffice.
-func (t *instanceTracker) challenge(id string, now time.Time, interval time.Duration) bool {
-	if t.challenger != id {
-		t.challenger = id
-		t.challengerSince = now
+// considerCandidate records a heartbeat of another instance. It reports whether that instance becomes the current one:
+// its heartbeats have arrived for half an interval, and none of the current instance. A shorter time does not suffice,
+// because late heartbeats may be delivered together.
+func (t *instanceTracker) considerCandidate(id string, now time.Time, interval time.Duration) bool {
+	if t.candidate != id {
+		t.candidate = id
+		t.candidateSince = now
 		return false
 	}
-	return now.Sub(t.challengerSince) >= interval/2
+	return now.Sub(t.candidateSince) >= interval/2
 }
 
-// setCurrent notes that the current instance was heard of.
+// setCurrent makes an instance the current one, of which a heartbeat or health check was received now.
 func (t *instanceTracker) setCurrent(id string, now time.Time) {
 	t.current = id
 	t.lastHeartbeat = now
-	t.challenger = ""
+	t.candidate = ""
 }
 
-// probed applies the instance that a health check has named. It reports whether it is the current one from now on, which
-// it is only if none is known.
-func (t *instanceTracker) probed(id string, now time.Time) bool {
-	if t.current != "" || t.known[id].deregistered {
+// applyProbe applies the instance ID that a health check has returned. It makes the instance the current one, and
+// reports true, only if there is no current one and the instance has not deregistered.
+func (t *instanceTracker) applyProbe(id string, now time.Time) bool {
+	if t.current != "" || t.records[id].deregistered {
 		return false
 	}
-	t.remember(id, formerInstance{callSeq: callSeqUnknown})
+	t.remember(id, instanceRecord{callSeq: callSeqUnknown})
 	t.setCurrent(id, now)
 	return true
 }
 
-// deregister notes that an instance has said that it leaves. It reports whether it was the current one.
+// deregister records that an instance has announced that it leaves. It reports whether it was the current one.
 func (t *instanceTracker) deregister(id string) (wasCurrent bool) {
-	t.remember(id, formerInstance{deregistered: true})
+	t.remember(id, instanceRecord{deregistered: true})
 	if t.current == "" || t.current != id {
 		return false
 	}
@@ -111,24 +115,25 @@
 	return true
 }
 
-// remember stores what is known of an instance. If there are too many, it forgets the former ones.
-func (t *instanceTracker) remember(id string, instance formerInstance) {
-	if len(t.known) > maxFormerInstances {
-		current := t.known[t.current]
-		clear(t.known)
+// remember stores the record of an instance. If there are too many records, it first deletes those of all instances but
+// the current one.
+func (t *instanceTracker) remember(id string, instance instanceRecord) {
+	if len(t.records) > maxInstanceRecords {
+		current := t.records[t.current]
+		clear(t.records)
 		if t.current != "" {
-			t.known[t.current] = current
+			t.records[t.current] = current
 		}
 	}
-	t.known[id] = instance
+	t.records[id] = instance
 }
 
-// isSilent reports whether so many heartbeats of the current instance were missed that it counts as gone.
+// isSilent reports whether the current instance has missed so many heartbeats that it counts as gone.
 func (t *instanceTracker) isSilent(now time.Time, interval time.Duration) bool {
 	return t.current != "" && now.Sub(t.lastHeartbeat) > maxSilence(interval)
 }
 
-// maxSilence returns after what silence an instance counts as gone.
+// maxSilence returns the time without a heartbeat after which an instance counts as gone.
 func maxSilence(interval time.Duration) time.Duration {
 	return interval*maxMissedHeartbeats + heartbeatSlack
 }
--- a/internal/mesh/sidecar/local_server_protocol.go
+++ b/internal/mesh/sidecar/local_server_protocol.go
@@ -11,7 +11,7 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// serverProtocol is the mesh's protocol towards the local server. It implements sender.Protocol.
+// serverProtocol implements sender.Protocol for requests to the local server.
 type serverProtocol struct{}
 
 // SetHeader implements sender.Protocol.
@@ -22,8 +22,8 @@
 	h[headerTargetInstance] = []string{a.Endpoint.ID}
 }
 
-// Matches implements sender.Protocol. An error response does not have to name its request. A successful response that
-// names none is not taken as the response to any.
+// Matches implements sender.Protocol. A response names its request by Attempt-Id. A successful response must do so; any
+// other may omit the header.
 func (serverProtocol) Matches(m *message.Request, resp *http.Response) sender.Match {
 	switch got := resp.Header.Get(headerAttemptID); {
 	case got == m.FrontData.(*wire.RequestT).AttemptId:
@@ -34,8 +34,8 @@
 	return sender.MatchOther
 }
 
-// notExecutedStatuses is the statuses with which a server may say by Not-Executed that it has not run a request. With
-// any other status the header contradicts the response and is ignored.
+// notExecutedStatuses are the statuses of responses in which the header Not-Executed is valid. It says that the server
+// has not run the request. With any other status it contradicts the status and is ignored.
 var notExecutedStatuses = map[int]bool{
 	http.StatusBadRequest:         true,
 	http.StatusRequestTimeout:     true,
@@ -54,12 +54,12 @@
 	case resp.StatusCode >= 500:
 		return balancer.Failure, true
 	case resp.StatusCode/100 == 2 && resp.Header.Get(headerServerSeal) == "":
-		return balancer.Broken, false // without the seal it is not from a server of the mesh
+		return balancer.Broken, false // without the seal, it is not from a server of the mesh
 	}
 	return balancer.Success, true
 }
 
-// ResponseHead implements sender.Protocol: it returns the part of a response that is forwarded.
+// ResponseHead implements sender.Protocol. It returns the status and the header fields that are forwarded.
 func (serverProtocol) ResponseHead(resp *http.Response) (int, []message.Field, string) {
 	fields := make([]message.Field, 0, len(resp.Header))
 	for name, values := range resp.Header {
--- a/internal/mesh/sidecar/local_server_test.go
+++ b/internal/mesh/sidecar/local_server_test.go
@@ -13,28 +13,29 @@
 	"cranegrade/internal/mesh/directory"
 )
 
-// maxAcknowledgementBytes is the largest response that a server accepts as an acknowledgement, in bytes.
+// maxAcknowledgementBytes is the largest acknowledgement that a server accepts.
 const maxAcknowledgementBytes = 4 << 10
 
-// newTestLocalServer returns the localServer of a sidecar that does not know any server yet.
+// newTestLocalServer returns the localServer of a new sidecar that has not received any heartbeat.
 func newTestLocalServer(t *testing.T) *localServer {
 	t.Helper()
 	s, _, _ := newFollowingSidecar(t)
 	return s.localServer
 }
 
-// postCall sends a call of a server, and checks the form of the acknowledgement.
+// postCall makes a call of a server, checks the acknowledgement, and returns the status.
 func (o *localServer) postCall(t *testing.T, path, body string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
 	o.handler().ServeHTTP(w, httptest.NewRequest("POST", "/v1/endpoints/"+path, strings.NewReader(body)))
 	if w.Code == http.StatusOK {
 		assert.Assert(t, w.Body.Len() <= maxAcknowledgementBytes)
-		assert.Assert(t, !strings.Contains(w.Body.String(), "HeartbeatTarget"), "heartbeats are to come here and nowhere else")
+		assert.Assert(t, !strings.Contains(w.Body.String(), "HeartbeatTarget"), "the acknowledgement must not redirect heartbeats to another node")
 	}
 	return w.Code
 }
 
+// postHeartbeat makes a heartbeat call, which must succeed.
 func (o *localServer) postHeartbeat(t *testing.T, id, state string, sequence int) {
 	t.Helper()
 	body := fmt.Sprintf(`{"Address":"10.1.0.9:8080","SystemInfo":{"Service":"stock","ConfigVersion":"v7","Zone":"a","SlotCount":6,"Later":1},
@@ -42,7 +43,7 @@
 	assert.Equal(t, o.postCall(t, id+"/heartbeat", body), http.StatusOK)
 }
 
-// A heartbeat updates the sidecar's record. A malformed one is rejected.
+// A heartbeat updates the record of the local server. A malformed one is rejected.
 func TestHeartbeat(t *testing.T) {
 	o := newTestLocalServer(t)
 	o.postHeartbeat(t, "i-1", "ready", 4)
@@ -56,9 +57,9 @@
 	assert.Equal(t, o.postCall(t, strings.Repeat("i", maxIDBytes+1)+"/heartbeat", `{"Address":"10.1.0.9:8080"}`), http.StatusBadRequest)
 }
 
-// Heartbeats of a server arrive in any order. An overtaken one changes nothing, a draining server does not become ready again, and heartbeats after
-// a server has left are ignored. The same holds if the sidecar restarts in between; then the first heartbeat that it receives counts.
-func TestHeartbeatsInAnyOrder(t *testing.T) {
+// The calls of a server may arrive in any order. An overtaken heartbeat changes nothing, a draining server does not become ready again, and heartbeats
+// after the server has deregistered are ignored. The same applies if the sidecar restarts in between, except that it forgets the calls before.
+func TestHeartbeatsInAllOrders(t *testing.T) {
 	t.Parallel()
 	type call struct {
 		id, state string
@@ -105,7 +106,7 @@
 
 	o := newTestLocalServer(t)
 	o.postHeartbeat(t, "i-1", "draining", 9)
-	o.postHeartbeat(t, "i-2", "ready", 1) // its successor at the same address
+	o.postHeartbeat(t, "i-2", "ready", 1) // the next instance, at the same address
 	o.postHeartbeat(t, "i-1", "ready", 8)
 	o.postHeartbeat(t, "i-1", "draining", 10)
 	assert.Assert(t, o.record().ServerID == "i-2" && o.record().State == directory.ServerReady)
--- a/internal/mesh/sidecar/maintenance.go
+++ b/internal/mesh/sidecar/maintenance.go
@@ -26,7 +26,7 @@
 	env         *environment
 	readiness   *readiness
 	outbound    *outboundListener
-	recaller    *recaller
+	recaller    *responseExchange
 	localServer *localServer
 	pools       *servicePools
 
--- a/internal/mesh/sidecar/not_ready_test.go
+++ b/internal/mesh/sidecar/not_ready_test.go
@@ -12,7 +12,7 @@
 	"cranegrade/internal/testkit"
 )
 
-// readinessStatus returns the status of a readiness check; 0: there was no answer.
+// readinessStatus returns the status of a readiness check, or 0 if it was not answered.
 func (s *Sidecar) readinessStatus(t testing.TB) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+s.readinessListener.Addr().String()+"/v1/readiness", nil)
@@ -25,14 +25,14 @@
 	return response.StatusCode
 }
 
-// A sidecar that is told to shut down is not ready from then on, while it still runs and finishes a call.
-func TestNotReadyFromTheSignalOn(t *testing.T) {
+// A sidecar is not ready from the moment when it begins to shut down, although it still runs for the grace period.
+func TestNotReadyDuringShutdown(t *testing.T) {
 	x := startCallChain(t, 1)
 	hold := make(chan struct{})
 	x.fakeServers[0].hold.Store(&hold)
 	s := x.newSidecar("shuts down", "caller")
 	changed := *s.env.settings.Load()
-	changed.Bounds.GraceS = 4 // of which 2 s are for callers to move on
+	changed.Bounds.GraceS = 4 // 2 s of it are for callers to switch to other sidecars
 	s.Reload(changed)
 	ctx, signal := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -42,18 +42,19 @@
 	}()
 	await(t, func() bool { return s.readinessStatus(t) == http.StatusOK })
 	signal()
-	awaitPromptly(t, "it is still ready", func() bool { return s.readinessStatus(t) == http.StatusServiceUnavailable })
+	awaitPromptly(t, "the sidecar is still ready", func() bool { return s.readinessStatus(t) == http.StatusServiceUnavailable })
 	select {
 	case <-ended:
-		t.Error("it has ended already")
+		t.Error("the sidecar has already ended")
 	default:
 	}
 	close(hold)
 	testkit.Wait(t, ended)
 }
 
-// While no configuration is known, each request is rejected with 503 and Retry-After: none with a 4xx, which says that its route does not exist.
-func TestNoConfigurationRejectsAsNotRun(t *testing.T) {
+// Before the first configuration has arrived, all requests are rejected with 503 and Retry-After, not with a 4xx status, which would mean that the
+// route does not exist.
+func TestRequestsRejectedWithoutConfiguration(t *testing.T) {
 	x := startCallChain(t, 1)
 	s := x.newSidecar("without a control plane", "caller")
 	unreachable := *s.env.settings.Load()
--- a/internal/mesh/sidecar/readiness.go
+++ b/internal/mesh/sidecar/readiness.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// readiness is the state that decides whether the sidecar is ready. The zero value is that of its start.
+// readiness determines whether the sidecar is ready. The zero value is not ready.
 type readiness struct {
-	configured atomic.Bool // the configuration was confirmed by the control plane once
-	stopping   atomic.Bool // the process ends
-	draining   atomic.Bool // callers have to use other machines, because this one is in maintenance
+	configured atomic.Bool // the control plane has confirmed the configuration at least once
+	stopping   atomic.Bool // the process is shutting down
+	draining   atomic.Bool // this machine is in maintenance, so callers have to use other machines
 }
 
 // isReady reports whether callers should send requests here.
@@ -17,7 +17,7 @@
 	return r.configured.Load() && !r.stopping.Load() && !r.draining.Load()
 }
 
-// handler answers the readiness check of the platform.
+// handler returns the HTTP handler for the platform's readiness checks.
 func (r *readiness) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readiness", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/mesh/sidecar/resource_budgets.go
+++ b/internal/mesh/sidecar/resource_budgets.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// defaultMaxFiles and defaultMemoryBytes are the limits of the process unless the settings name others.
+	// defaultMaxFiles and defaultMemoryBytes are the limits of the process if the settings do not set them.
 	defaultMaxFiles    = 4096
 	defaultMemoryBytes = 256 << 20
 	bytesPerMegabyte   = 1 << 20
-	// reservedFiles is the number of file descriptors kept for files, connections to other sidecars and local calls, and
-	// minFiles the number that are shared out whatever the limit is.
+	// reservedFiles is the number of file descriptors reserved for files, connections to other sidecars and local
+	// calls. minFiles is the number that is available for the connections below even if the limit is lower.
 	reservedFiles = 256
 	minFiles      = 128
-	// Three of four file descriptors are for connections of callers, and the fourth is for those to servers.
+	// Three quarters of the file descriptors are for connections of callers, the rest for connections to servers.
 	callerFilesNumerator = 3
 	filesDenominator     = 4
-	// Parts of the memory limit: for bodies of requests, for streamed responses to callers, and for those of the local
-	// server. The other half is for all else.
+	// A quarter of the memory limit is for request bodies, an eighth for streamed responses to callers, and an eighth
+	// for streamed responses of the local server. The other half is for everything else.
 	bodyMemoryDivisor     = 4
 	responseMemoryDivisor = 8
-	// maxCalls bounds the requests of callers at a time, and maxHeldCalls those of them that wait for a server.
-	maxCalls     = 4096
-	maxHeldCalls = 1024
+	// maxCalls bounds the concurrent requests of callers, and maxWaitingCalls those of them that wait for a server.
+	maxCalls        = 4096
+	maxWaitingCalls = 1024
 )
 
-// resourceBudgets bounds the resources of the process: calls, bytes and file descriptors. Each of them is shared by the
-// pools of all services.
+// resourceBudgets bounds the calls, memory and file descriptors of the process. The pools of all services share each
+// budget.
 type resourceBudgets struct {
-	calls       *pool.Share // requests of callers
-	held        *pool.Share // of these, those that wait for a server
-	bodies      *pool.Share // bytes of requests' bodies
-	longAnswers *pool.Share // bytes of streamed responses
-	callers     *pool.Share // callers' connections
-	servers     *pool.Share // connections to servers
-	toServer    *pool.Share // bytes of streamed responses of the local server
+	calls                 *pool.Share // requests of callers
+	waitingCalls          *pool.Share // requests of callers that wait for a server
+	requestBodies         *pool.Share // bytes of request bodies
+	responseBuffers       *pool.Share // bytes of streamed responses to callers
+	callerConns           *pool.Share // connections of callers
+	serverConns           *pool.Share // connections to servers
+	serverResponseBuffers *pool.Share // bytes of streamed responses of the local server
 }
 
-// newResourceBudgets divides the limits of the settings.
+// newResourceBudgets returns budgets that divide the limits of the settings.
 func newResourceBudgets(set settings.Settings) *resourceBudgets {
 	files := int64(set.Limits.MaxFds)
 	if files == 0 {
@@ -50,17 +50,17 @@
 		memory = defaultMemoryBytes
 	}
 	return &resourceBudgets{
-		calls:       newBudget(maxCalls),
-		held:        newBudget(maxHeldCalls),
-		bodies:      newBudget(memory / bodyMemoryDivisor),
-		longAnswers: newBudget(memory / responseMemoryDivisor),
-		callers:     newBudget(files * callerFilesNumerator / filesDenominator),
-		servers:     newBudget(files / filesDenominator),
-		toServer:    newBudget(memory / responseMemoryDivisor),
+		calls:                 newBudget(maxCalls),
+		waitingCalls:          newBudget(maxWaitingCalls),
+		requestBodies:         newBudget(memory / bodyMemoryDivisor),
+		responseBuffers:       newBudget(memory / responseMemoryDivisor),
+		callerConns:           newBudget(files * callerFilesNumerator / filesDenominator),
+		serverConns:           newBudget(files / filesDenominator),
+		serverResponseBuffers: newBudget(memory / responseMemoryDivisor),
 	}
 }
 
-// newBudget returns the one share of a budget.
+// newBudget returns a new budget as a single share of it.
 func newBudget(total int64) *pool.Share {
 	budget := pool.NewBudget(total)
 	share := budget.NewShare()
@@ -68,13 +68,13 @@
 	return share
 }
 
-// poolShares returns the budgets as a pool takes them.
+// poolShares returns the budgets in the form that pools use.
 func (b *resourceBudgets) poolShares() pool.Shares {
 	return pool.Shares{
 		Calls:           b.calls,
-		PendingCalls:    b.held,
-		Connections:     b.servers,
-		RequestBodies:   b.bodies,
-		ResponseBuffers: b.longAnswers,
+		PendingCalls:    b.waitingCalls,
+		Connections:     b.serverConns,
+		RequestBodies:   b.requestBodies,
+		ResponseBuffers: b.responseBuffers,
 	}
 }
--- a/internal/mesh/sidecar/response_inherited.go
+++ b/internal/mesh/sidecar/response_inherited.go
@@ -10,15 +10,15 @@
 // maxInheritedRecords bounds the number of inherited records; maxStoredBytes bounds their bytes.
 const maxInheritedRecords = 100_000
 
-// inheritedResponses holds the responses that other sidecars stored and handed over before their maintenance. It
-// holds no leases, which remain with those sidecars. The zero value is ready to use.
+// inheritedResponses stores the responses that other sidecars handed over before their maintenance. The leases of the
+// keys are not transferred, but stay with those sidecars. The zero value is ready to use.
 type inheritedResponses struct {
 	mu      sync.Mutex // guards below
 	records map[inheritedKey]inheritedRecord
 	bytes   int // of the records' bodies
 }
 
-// inheritedKey names a key of another sidecar, by its address.
+// inheritedKey is an idempotency key with the address of the sidecar that handed over its record.
 type inheritedKey struct{ addr, key string }
 
 type inheritedRecord struct {
@@ -26,8 +26,8 @@
 	expiresAt time.Time
 }
 
-// add stores records of another sidecar, as far as there is room. A record of a key that is already known is not
-// replaced.
+// add stores records of the sidecar at source. It skips records that exceed the bounds, and those of keys that already
+// have a record.
 func (s *inheritedResponses) add(source string, records []*wire.StoredResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// expire removes the records whose time has passed. The caller holds mu.
+// expire removes expired records. The caller holds mu.
 func (s *inheritedResponses) expire(now time.Time) {
 	for key, r := range s.records {
 		if now.After(r.expiresAt) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// get returns the record that another sidecar stored for a key, or nil if there is none.
+// get returns the record of a key that the sidecar at source handed over, or nil if there is none.
 func (s *inheritedResponses) get(source, key string) *wire.StoredResponseT {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/response_inherited_test.go
+++ b/internal/mesh/sidecar/response_inherited_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Records that another sidecar handed over are found by that sidecar and the key until they expire. A known record is not replaced.
+// Records that another sidecar handed over are found by its address and the key until they expire. An existing record is not replaced.
 func TestInheritedResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i inheritedResponses
@@ -25,7 +25,7 @@
 		assert.Equal(t, string(i.get("b", "k").Body), "of b")
 		assert.Assert(t, i.get("c", "k") == nil && i.get("a", "other") == nil)
 		time.Sleep(time.Minute)
-		assert.Assert(t, i.get("a", "k") == nil, "it has expired")
+		assert.Assert(t, i.get("a", "k") == nil, "the record has expired")
 		time.Sleep(time.Nanosecond)
 		i.add("a", record("third", time.Minute))
 		assert.Equal(t, string(i.get("a", "k").Body), "third")
@@ -40,5 +40,5 @@
 		i.add("a", []*wire.StoredResponseT{{Key: fmt.Sprint(n), Body: body, TtlUs: time.Hour.Microseconds()}})
 	}
 	assert.Equal(t, i.bytes, maxStoredBytes)
-	assert.Assert(t, i.get("a", "0") != nil, "what came first stays")
+	assert.Assert(t, i.get("a", "0") != nil, "the first records must be kept")
 }
--- a/internal/mesh/sidecar/response_recall.go
+++ b/internal/mesh/sidecar/response_recall.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// maxHandoverRecords and maxHandoverBytes bound one message of a hand-over; its last record may exceed the bytes.
+	// maxHandoverRecords and maxHandoverBytes bound one message of a hand-over. The bodies of its records may exceed
+	// maxHandoverBytes by the last of them.
 	maxHandoverRecords = 1000
 	maxHandoverBytes   = 1 << 20
 )
 
-// recaller reads stored responses of other sidecars, and hands over this sidecar's own.
-type recaller struct {
+// responseExchange exchanges stored responses with other sidecars: it reads theirs, answers their lookups, and hands
+// over this sidecar's own before maintenance.
+type responseExchange struct {
 	env         *environment
 	upstreams   *upstreams
 	maintenance *maintenanceView
 	responses   *responseStore
 }
 
-// recall reads the record of a key from the sidecar that holds its lease, or first from its successor if that sidecar
-// is or was in maintenance.
-func (r *recaller) recall(ctx context.Context, holder, key string) (*wire.StoredResponseT, error) {
+// fetch reads the record of a key from the sidecar that holds its lease. If that sidecar is or was in maintenance,
+// fetch asks its successor first.
+func (r *responseExchange) fetch(ctx context.Context, holder, key string) (*wire.StoredResponseT, error) {
 	switch successor := r.maintenance.successorOf(holder); successor {
 	case "":
 	case r.env.addr():
@@ -31,16 +33,16 @@
 			return record, nil
 		}
 	default:
-		if record, err := r.call(ctx, successor, key, holder); err == nil && record.Found {
+		if record, err := r.fetchFrom(ctx, successor, key, holder); err == nil && record.Found {
 			return record, nil
 		}
 	}
-	return r.call(ctx, holder, key, "")
+	return r.fetchFrom(ctx, holder, key, "")
 }
 
-// call reads the record of a key from one sidecar. storedBy names the sidecar that handed the record over; it is
-// empty if the record is the called sidecar's own.
-func (r *recaller) call(ctx context.Context, addr, key, storedBy string) (*wire.StoredResponseT, error) {
+// fetchFrom reads the record of a key from the sidecar at addr. storedBy is the address of the sidecar that handed the
+// record over to that one, or empty for a record of its own.
+func (r *responseExchange) fetchFrom(ctx context.Context, addr, key, storedBy string) (*wire.StoredResponseT, error) {
 	conn, err := r.upstreams.get(addr).connect(ctx)
 	if err != nil {
 		return nil, err
@@ -55,9 +57,9 @@
 	})
 }
 
-// lookUp answers a call of another sidecar with the record of a key. storedBy names the sidecar that handed the record
-// over; it is empty if the record is this one's own.
-func (r *recaller) lookUp(key, storedBy string) *wire.StoredResponseT {
+// lookUp returns the record of a key for another sidecar. storedBy is the address of the sidecar that handed the record
+// over to this one, or empty for a record of this sidecar's own.
+func (r *responseExchange) lookUp(key, storedBy string) *wire.StoredResponseT {
 	if storedBy != "" {
 		if record := r.responses.inherited.get(storedBy, key); record != nil {
 			return record
@@ -70,8 +72,8 @@
 	return &wire.StoredResponseT{OutcomeUnknown: true}
 }
 
-// handOver sends all stored responses to the successor. It returns nil once the successor has all of them.
-func (r *recaller) handOver(ctx context.Context, successor string) error {
+// handOver sends all stored responses to the successor. It returns nil once the successor has acknowledged them all.
+func (r *responseExchange) handOver(ctx context.Context, successor string) error {
 	rest := r.responses.export(r.env.keyLeaseTime())
 	for len(rest) > 0 {
 		count := handoverBatch(rest)
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// handoverBatch returns how many of the first records go into one message.
+// handoverBatch returns how many of the records, from the first on, fit into one message.
 func handoverBatch(records []*wire.StoredResponseT) (count int) {
 	bytes := 0
 	for count < len(records) && count < maxHandoverRecords && bytes < maxHandoverBytes {
--- a/internal/mesh/sidecar/response_store.go
+++ b/internal/mesh/sidecar/response_store.go
@@ -11,22 +11,23 @@
 	// maxStoredBytes bounds the bytes of the bodies of all responses stored here and, separately, of those that other
 	// sidecars handed over before their maintenance (inheritedResponses).
 	maxStoredBytes = 8 << 20
-	// maxStoredResponseBytes is the largest body that is stored. One response must not evict most others.
+	// maxStoredResponseBytes is the size of the largest body that is stored, so that a single response does not evict
+	// most others.
 	maxStoredResponseBytes = 256 << 10
-	// recordSlack is how much longer than its lease the record of a key is kept. Log time, in which
-	// the lease is counted, may lag behind the clock here.
+	// recordSlack is how much longer than the lease of a key its record is kept. The lease expires by the time of the
+	// replicated log, which may lag behind this sidecar's clock.
 	recordSlack = 5 * time.Second
 )
 
-// responseStore holds the keys whose requests ran beside this sidecar, with their responses for repeated requests.
-// Its size in bytes is bounded: the oldest responses are evicted first, and their records then only say that the
-// requests ran.
+// responseStore holds a record of each key that was claimed at this sidecar, with the response to return to repeated
+// requests. The size of the responses is bounded: the oldest are evicted first, and their records then only say that
+// the requests ran.
 type responseStore struct {
 	inherited inheritedResponses
 
 	mu           sync.Mutex // guards below
 	records      map[string]*keyRecord
-	claimOrder   []string // the keys of records, by their first claims
+	claimOrder   []string // the keys of records, ordered by their first claims
 	storedBytes  int
 	oldestStored int // index in claimOrder of the first key whose response has not been evicted
 }
@@ -35,9 +36,9 @@
 	return &responseStore{records: map[string]*keyRecord{}}
 }
 
-// begin records that a key is about to be claimed, by the attempt of a call that token identifies. isFirst is false if
-// it was claimed before; earlier is the record of that claim. A key whose request never ran is claimed anew, and keeps its
-// place in claimOrder.
+// begin records that a key is about to be claimed for an attempt of the call that token identifies. If the key was
+// claimed before, isFirst is false and earlier is the record of that claim. A key whose earlier request never ran may
+// be claimed again, which counts as a first claim; it keeps its place in claimOrder.
 func (s *responseStore) begin(key, token string, attempt uint32, window time.Duration) (earlier keyRecord, isFirst bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,11 +59,12 @@
 	return keyRecord{}, true
 }
 
-// expire removes the records that are older than age, up to the first that is not. The caller holds mu.
+// expire removes records older than age from the front of claimOrder, up to the first that is not older. The caller
+// holds mu.
 //
-// claimOrder is by first claims, so a key that was claimed anew may stand before older ones. No record is removed too
-// early for that, but those behind it are kept until it expires as well: a request with one of their keys is not run
-// again meanwhile, although the key's window is over. Each new claim prolongs that.
+// claimOrder follows the first claims, so a key that was claimed again may precede older records. No record is removed
+// too early because of that, but the older ones are kept until it expires. Until then, a request with one of their keys
+// is not run again, although the key's window is over. Each further claim extends that time.
 func (s *responseStore) expire(now time.Time, age time.Duration) {
 	for len(s.claimOrder) > 0 {
 		r := s.records[s.claimOrder[0]]
@@ -76,7 +78,7 @@
 	}
 }
 
-// dropResponse forgets the response of a record, which stays. The caller holds mu.
+// dropResponse removes the response of a record, but keeps the record. The caller holds mu.
 func (s *responseStore) dropResponse(r *keyRecord) {
 	if r != nil && r.response != nil {
 		s.storedBytes -= len(r.response.Body)
@@ -93,8 +95,8 @@
 	}
 }
 
-// finish is setState for the request with a token. It does nothing if another token has claimed the key meanwhile,
-// which happens when a request runs longer than the key's window.
+// finish is setState for the request with the given token. It does nothing if the key was claimed with another token in
+// the meantime, which happens when a request runs longer than the key's window.
 func (s *responseStore) finish(key, token string, state keyState, response *wire.ResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,9 +105,10 @@
 	}
 }
 
-// update records the state of a key's request, and evicts responses while they exceed maxStoredBytes. The caller
-// holds mu. A response that comes after oldestStored has passed its key, since the request took long or the key was
-// claimed anew, is only removed once it expires: such responses may exceed maxStoredBytes.
+// update records the state of a key's request, and evicts the oldest responses while all exceed maxStoredBytes. The
+// caller holds mu. If a response is stored when oldestStored has already passed its key, because the request took long
+// or the key was claimed again, it is not evicted, but removed when its record expires. Such responses may exceed
+// maxStoredBytes.
 func (s *responseStore) update(r *keyRecord, state keyState, response *wire.ResponseT) {
 	r.state = state
 	if state != keyAnswered || response == nil || len(response.Body) > maxStoredResponseBytes {
@@ -118,7 +121,7 @@
 	}
 }
 
-// markNotExecuted records that the request of a key never ran here, so that the key may be claimed again.
+// markNotExecuted records that the key's request never ran, so that the key may be claimed again.
 func (s *responseStore) markNotExecuted(key string) {
 	s.setState(key, keyNotExecuted, nil)
 }
@@ -134,8 +137,8 @@
 	return *r, true
 }
 
-// export returns the records that a successor needs: of each key whose request ran, with its response and the time
-// until it expires.
+// export returns the records to hand over to a successor: those of keys whose requests ran or may have run, with the
+// stored responses and the remaining time of the key windows.
 func (s *responseStore) export(window time.Duration) (records []*wire.StoredResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/response_store_test.go
+++ b/internal/mesh/sidecar/response_store_test.go
@@ -14,16 +14,16 @@
 	k := newResponseStore()
 	_, ok := k.begin("a", "t1", 0, time.Minute)
 	assert.Assert(t, ok)
-	was, ok := k.begin("a", "t2", 0, time.Minute)
-	assert.Assert(t, !ok && was.state == keyClaiming && was.token == "t1")
+	earlier, ok := k.begin("a", "t2", 0, time.Minute)
+	assert.Assert(t, !ok && earlier.state == keyClaiming && earlier.token == "t1")
 	k.setState("a", keyRunning, nil)
-	k.markNotExecuted("a") // it never ran
+	k.markNotExecuted("a")
 	_, ok = k.begin("a", "t2", 0, time.Minute)
 	assert.Assert(t, ok)
 	k.setState("a", keyAnswered, &wire.ResponseT{Status: 201, Body: []byte("text")})
-	was, ok = k.begin("a", "t3", 0, time.Minute)
-	assert.Assert(t, !ok && was.state == keyAnswered && was.response.Status == 201)
-	// It is bounded: of the oldest the answers go, not that they ran.
+	earlier, ok = k.begin("a", "t3", 0, time.Minute)
+	assert.Assert(t, !ok && earlier.state == keyAnswered && earlier.response.Status == 201)
+	// The store is bounded: it evicts the oldest responses, but keeps the records that their requests ran.
 	body := make([]byte, maxStoredResponseBytes)
 	for n := range 2 * maxStoredBytes / maxStoredResponseBytes {
 		key := fmt.Sprint(n)
@@ -31,9 +31,9 @@
 		k.setState(key, keyAnswered, &wire.ResponseT{Body: body})
 	}
 	assert.Assert(t, k.storedBytes <= maxStoredBytes)
-	was, ok = k.begin("a", "t4", 0, time.Minute)
-	assert.Assert(t, !ok && was.state == keyAnswered && was.response == nil)
-	// Past its window a key is forgotten.
+	earlier, ok = k.begin("a", "t4", 0, time.Minute)
+	assert.Assert(t, !ok && earlier.state == keyAnswered && earlier.response == nil)
+	// Records are removed after the key window.
 	for _, x := range k.records {
 		x.claimedAt = x.claimedAt.Add(-2 * time.Minute)
 	}
@@ -41,8 +41,8 @@
 	assert.Assert(t, ok && len(k.records) == 1 && k.storedBytes == 0)
 }
 
-// A request that ends after its key was claimed by another does not change the record of that one.
-func TestResponseStoreOutlastedLease(t *testing.T) {
+// A request that ends after another request has claimed its key does not change the record of the other.
+func TestRequestOutlastsItsLease(t *testing.T) {
 	k := newResponseStore()
 	k.begin("a", "t1", 0, time.Minute)
 	k.setState("a", keyRunning, nil)
@@ -51,9 +51,9 @@
 	assert.Assert(t, ok)
 	k.setState("a", keyRunning, nil)
 	k.finish("a", "t1", keyOutcomeUnknown, nil)
-	was, _ := k.get("a")
-	assert.Equal(t, was.state, keyRunning)
+	earlier, _ := k.get("a")
+	assert.Equal(t, earlier.state, keyRunning)
 	k.finish("a", "t2", keyAnswered, &wire.ResponseT{Status: 200})
-	was, _ = k.get("a")
-	assert.Equal(t, was.state, keyAnswered)
+	earlier, _ = k.get("a")
+	assert.Equal(t, earlier.state, keyAnswered)
 }
--- a/internal/mesh/sidecar/scripted_server_test.go
+++ b/internal/mesh/sidecar/scripted_server_test.go
@@ -16,29 +16,32 @@
 )
 
 const (
-	// promptly bounds what has to happen soon. It is well below the time-out of the chain's routes, and far longer than any of it takes.
-	promptly = 5 * time.Second
-	// maxScriptedArrivals is how many requests a scripted server can take that the test does not look at.
+	// promptTimeout bounds the wait for events that must happen without waiting for any time-out. It is well below the time-out of the routes of a
+	// callChain, and far longer than such events take.
+	promptTimeout = 5 * time.Second
+	// maxScriptedArrivals is the capacity of channels to which scripted servers send what arrives, so that they do not block if the test does not receive.
 	maxScriptedArrivals = 256
 )
 
-// arrival is a request at a scripted server: its head was read, and its body was not.
+// arrival is a request at a scripted server that has read its head, but not its body.
 type arrival struct {
 	conn    net.Conn
 	reader  *bufio.Reader
 	request *http.Request
 }
 
-// attemptID returns the id that the request carries.
+// attemptID returns the Attempt-Id of the request.
 func (a *arrival) attemptID() string { return a.request.Header.Get(headerAttemptID) }
 
-// readBody reads the rest of the request.
+// readBody reads and discards the body of the request.
 func (a *arrival) readBody() { _, _ = io.Copy(io.Discard, a.request.Body) }
 
-// succeed answers the request completely.
-func (a *arrival) succeed() { _, _ = io.WriteString(a.conn, answerAs("plain", a.attemptID(), "")) }
+// succeed sends a complete successful response.
+func (a *arrival) succeed() {
+	_, _ = io.WriteString(a.conn, scriptedResponse("plain", a.attemptID(), ""))
+}
 
-// beginChunks writes the head of a success whose body comes in chunks.
+// beginChunks writes the head of a successful response with chunked transfer coding.
 func (a *arrival) beginChunks() {
 	fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: %s\r\nTransfer-Encoding: chunked\r\n\r\n",
 		a.attemptID(), sealOf(a.attemptID()))
@@ -50,11 +53,11 @@
 	return err == nil
 }
 
-// awaitEnd reads until the other side ends the connection.
+// awaitEnd reads until the peer closes the connection.
 func (a *arrival) awaitEnd() { _, _ = io.Copy(io.Discard, a.reader) }
 
-// attachServer puts a server in the place of the nth one, which calls serve for each request on a connection until that returns false. It never
-// answers the calls of occupyUpstream.
+// attachServer replaces the nth server by a scripted one. It calls serve for each request on a connection until that returns false, and then closes
+// the connection. It does not pass the calls of occupyUpstream to serve, and never answers them.
 func (x *callChain) attachServer(n int, serve func(*arrival) (more bool)) {
 	x.t.Helper()
 	x.heartbeat(n, x.scriptedServer(serve), "ready", 2)
@@ -82,11 +85,11 @@
 	})
 }
 
-// occupyingPath ends the path of a call that lasts until the test ends.
+// occupyingPath is the end of the path of calls that last until the test ends.
 const occupyingPath = "/occupy"
 
-// occupyUpstream makes a call that lasts until the test ends. Without any, the transport closes a connection on which only one side waits, which
-// would end what the test wants to see cancelled by a message.
+// occupyUpstream makes a call that lasts until the test ends. Without one, the transport would close a connection on which only one side waits. That
+// would end requests that the test expects to be cancelled by a message.
 func (x *callChain) occupyUpstream() {
 	x.t.Helper()
 	caller := x.dial()
@@ -103,7 +106,7 @@
 	x.heartbeatOf(n, x.fakeServers[n].id, addr, state, sequence)
 }
 
-// heartbeatOf sends a heartbeat of another instance in the place of the nth server.
+// heartbeatOf sends a heartbeat of any instance to the sidecar of the nth server.
 func (x *callChain) heartbeatOf(n int, id, addr, state string, sequence int64) {
 	x.t.Helper()
 	assert.NilError(x.t, x.far[n].localServer.heartbeat(id, Heartbeat{
@@ -112,14 +115,14 @@
 	}))
 }
 
-// write writes a call and does not wait for its answer.
+// write sends a call without waiting for its response.
 func (c *callerConn) write(attempt string, kind kindOfCall, budget time.Duration) {
 	c.x.t.Helper()
 	_, err := io.WriteString(c.c, requestText(attempt, kind, "plain", "", budget))
 	assert.NilError(c.x.t, err)
 }
 
-// readHead reads the status line and the head of a response.
+// readHead reads the status line and the header of a response.
 func (c *callerConn) readHead() string {
 	c.x.t.Helper()
 	assert.NilError(c.x.t, c.c.SetReadDeadline(time.Now().Add(testkit.Limit)))
@@ -132,23 +135,23 @@
 	return head.String()
 }
 
-// awaitPromptly waits for a condition that the test requires to come about soon.
+// awaitPromptly waits for a condition, and fails the test with failure after promptTimeout.
 func awaitPromptly(t testing.TB, failure string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(promptly); !condition(); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(promptTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal(failure)
 		}
 	}
 }
 
-// receivePromptly returns what is sent on a channel soon.
+// receivePromptly returns the next value of a channel, and fails the test with failure after promptTimeout.
 func receivePromptly[T any](t testing.TB, failure string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(promptly):
+	case <-time.After(promptTimeout):
 		t.Fatal(failure)
 		panic("unreachable")
 	}
--- a/internal/mesh/sidecar/service_classes.go
+++ b/internal/mesh/sidecar/service_classes.go
@@ -7,8 +7,8 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// priorityAndTimeout returns the priority and time-out of a route to a service: those of the effective policy, if
-// there is one.
+// priorityAndTimeout returns the priority and time-out of a route to a service. Those of the effective policy, if there
+// is one, take precedence over those of the route.
 func priorityAndTimeout(route *routing.Route, service string) (priority int, timeout time.Duration) {
 	if effective := route.PolicyDecision(service); effective != nil {
 		return effective.Priority, effective.Timeout
@@ -16,8 +16,9 @@
 	return route.Priority, route.Timeout
 }
 
-// moduleClasses returns the routes to a service as classes of the decision module. Classes above the lowest priority
-// are marked First, so that the module does not hold them back: work that was already admitted may depend on them.
+// moduleClasses returns the decision module's request classes for the routes to a service. Classes above the lowest
+// priority are marked First, so that the module does not delay them: requests that were already admitted may depend on
+// them.
 func moduleClasses(service string, routes []*routing.Route) (classes []balancer.Class) {
 	lowest := 0
 	for _, route := range routes {
@@ -33,9 +34,9 @@
 	return classes
 }
 
-// moduleClass returns a route to a service as a class of the decision module. A request is worth the less, the lower
-// its priority (priority 0 is the highest); half of the latency target counts as its usual latency until any is
-// measured.
+// moduleClass returns the decision module's request class for a route to a service. The worth of a request decreases
+// with its priority number (0 is the highest priority). Half of the latency target serves as the typical latency until
+// latencies have been measured.
 func moduleClass(service string, route *routing.Route) balancer.Class {
 	priority, timeout := priorityAndTimeout(route, service)
 	target := min(route.LatencyTarget, timeout)
--- a/internal/mesh/sidecar/shutdown_waiting_test.go
+++ b/internal/mesh/sidecar/shutdown_waiting_test.go
@@ -29,7 +29,7 @@
 		return engine.OpenCalls() > 0 && !caller.hasAnswer()
 	})
 	x.terminateNear()
-	assert.NilError(t, caller.c.SetReadDeadline(time.Now().Add(promptly))) // far longer than the grace period
+	assert.NilError(t, caller.c.SetReadDeadline(time.Now().Add(promptTimeout))) // far longer than the grace period
 	answer := caller.readAnswer()
 	assert.Equal(t, answer.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, answer.RetryAfter != "")
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -77,7 +77,7 @@
 		tokens: &tokenSource{incarnation: env.incarnation},
 	}
 	budgets := newResourceBudgets(set)
-	s.outbound = &outboundListener{env: env, readiness: &s.readiness, callerShare: budgets.callers}
+	s.outbound = &outboundListener{env: env, readiness: &s.readiness, callerShare: budgets.callerConns}
 	s.directory = newDirectoryView(env)
 	s.maintenance = newMaintenanceView(env, &s.readiness, s.outbound)
 	s.upstreams = newUpstreams(env, s.directory)
@@ -90,8 +90,8 @@
 	s.assembleInbound(ring, sender.New(sender.Config{
 		ServerIdleTimeout: serverIdleTimeout,
 		ConnectTimeout:    serverConnectTimeout,
-		Connections:       budgets.servers,
-		ResponseBuffers:   budgets.toServer,
+		Connections:       budgets.serverConns,
+		ResponseBuffers:   budgets.serverResponseBuffers,
 		Protocol:          serverProtocol{},
 		ReadTimeout:       time.Hour,
 	}))
@@ -113,7 +113,7 @@
 		ring:        ring,
 		conns:       map[*inboundConn]bool{},
 	}
-	s.inbound.recaller = &recaller{
+	s.inbound.responseExchange = &responseExchange{
 		env:         s.env,
 		upstreams:   s.upstreams,
 		maintenance: s.maintenance,
@@ -129,7 +129,7 @@
 	s.directory.localServer = s.localServer
 	s.maintenance.pools = s.pools
 	s.maintenance.localServer = s.localServer
-	s.maintenance.recaller = s.inbound.recaller
+	s.maintenance.recaller = s.inbound.responseExchange
 	s.localServer.directory = s.directory
 	s.localServer.controlPlane = s.controlPlane
 	s.controlPlane.configuration = s.configuration
@@ -221,7 +221,7 @@
 	s.drainCallers(began, min(connectionDrainTime, grace/2), ticker.C)
 	// The local server serves other sidecars until now, so that few servers are missing at a time during a rolling
 	// restart.
-	s.localServer.leave()
+	s.localServer.announceLeaving()
 	<-ticker.C // the others learn that this sidecar leaves before it rejects what they send
 	s.inbound.draining.Store(true)
 	s.finishRequests(ctx, ticker.C)
--- a/internal/mesh/sidecar/status.go
+++ b/internal/mesh/sidecar/status.go
@@ -26,7 +26,7 @@
 		Service:           local.record.Service,
 		ServerId:          local.record.ServerID,
 		ServerState:       byte(local.record.State),
-		ServerStateReason: local.outReason,
+		ServerStateReason: local.unavailableReason,
 		OpenRequests:      s.inbound.openRequests.Load(),
 		MaintenanceIndex:  s.maintenance.orders.Load().Index,
 		UpstreamAddrs:     s.upstreams.activeAddrs(),
