--- a/internal/mesh/sidecar/call_chain_test.go
+++ b/internal/mesh/sidecar/call_chain_test.go
@@ -202,9 +202,9 @@
 
 // call makes one call, reads its response and records both in the history.
 func (c *callerConn) call(attempt string, kind kindOfCall, behavior, key string, budget time.Duration) callerAnswer {
-	c.x.history.asked(attempt, kind, key)
+	c.x.history.recordCall(attempt, kind, key)
 	t := c.exchange(attempt, kind, behavior, key, budget)
-	c.x.history.answered(attempt, t)
+	c.x.history.recordResponse(attempt, t)
 	return t
 }
 
--- a/internal/mesh/sidecar/maintenance.go
+++ b/internal/mesh/sidecar/maintenance.go
@@ -27,7 +27,7 @@
 	env         *environment
 	readiness   *readiness
 	outbound    *outboundListener
-	recaller    *recaller
+	recaller    *responseExchange
 	localServer *localServer
 	pools       *servicePools
 
