--- a/internal/zone/account.go
+++ b/internal/zone/account.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Key is what traffic is accounted by. The names of its fields are stored data.
+// Key identifies a row of the account. The names of its fields are stored data.
 type Key struct {
-	Day      int64 // since 1970, UTC
+	Day      int64 // days since 1970-01-01 UTC
 	Pair     Pair
 	Pool     string
 	Class    string
@@ -18,7 +18,7 @@
 // Traffic counts the attempts whose request was written completely. The names of its fields are stored data.
 type Traffic struct {
 	Requests int64
-	Out, In  int64 // bytes of the bodies of requests that were sent, and of responses that were read
+	Out, In  int64 // body bytes of requests sent, and of responses received
 }
 
 // add adds other traffic.
@@ -34,11 +34,11 @@
 	Traffic
 }
 
-// OtherCustomers is accounted in place of further customers once a day has maxCustomers of them.
+// OtherCustomers stands for all further customers of a day once it has maxCustomers.
 const OtherCustomers = "(others)"
 
-// Bounds of an account. Customers come from clients, so their number needs a bound; pools and classes are the operator's, and
-// zones are bounded by MaxZones.
+// Bounds of an account. Customer names come from clients, so their number must be bounded; pools and classes are
+// configured, and MaxZones bounds the zones.
 const (
 	maxCustomers  = 256
 	retentionDays = 40
@@ -48,8 +48,8 @@
 // it.
 type Account struct {
 	rows      map[Key]*Traffic
-	customers map[int64]map[string]bool // that are told apart, by day
-	changed   map[Key]bool              // rows that were not taken since
+	customers map[int64]map[string]bool // with rows of their own, by day
+	changed   map[Key]bool              // rows changed since the last TakeChanges
 	latestDay int64
 }
 
@@ -58,11 +58,11 @@
 	return &Account{rows: map[Key]*Traffic{}, customers: map[int64]map[string]bool{}, changed: map[Key]bool{}}
 }
 
-// DayOf is the day of a Unix time.
+// DayOf returns the day of a Unix time, in days since 1970-01-01 UTC.
 func DayOf(now time.Duration) int64 { return int64(now / (24 * time.Hour)) }
 
-// Add adds traffic under a key, whose day it sets to that of now, a Unix time. If the clock has gone back past the end of a
-// day it is the latest day that was seen, so that no day that was reported grows again.
+// Add adds traffic under a key, whose day it sets to that of now, a Unix time. If the clock has
+// stepped back to an earlier day, the latest day seen is used, so that the totals of a past day never change.
 func (a *Account) Add(now time.Duration, key Key, traffic Traffic) {
 	key.Day = max(DayOf(now), a.latestDay)
 	if key.Day > a.latestDay {
@@ -84,7 +84,7 @@
 	a.changed[key] = true
 }
 
-// boundedCustomer is the name that a customer is accounted under: its own, or OtherCustomers if the day has too many.
+// boundedCustomer returns the name under which a customer is accounted: its own, or OtherCustomers if the day has too many.
 func (a *Account) boundedCustomer(day int64, customer string) string {
 	if customer == "" || customer == OtherCustomers {
 		return customer
@@ -103,7 +103,7 @@
 	return customer
 }
 
-// OldestDay is the first day that is kept.
+// OldestDay returns the first day that is retained.
 func (a *Account) OldestDay() int64 { return max(0, a.latestDay-retentionDays+1) }
 
 // dropExpired drops the days before OldestDay.
@@ -134,10 +134,10 @@
 	clear(a.changed)
 }
 
-// Rows are all rows in the order of reports.
+// Rows returns all rows in report order.
 func (a *Account) Rows() []Row { return sortedRows(a.rows) }
 
-// TakeChanges returns the rows that changed since it was last called, with their totals, in no order.
+// TakeChanges returns the rows that changed since the last call, with their totals, in no particular order.
 func (a *Account) TakeChanges() []Row {
 	rows := make([]Row, 0, len(a.changed))
 	for key := range a.changed {
@@ -147,7 +147,7 @@
 	return rows
 }
 
-// MarkChanged makes rows that TakeChanges returned count as changed again. Rows that have expired since are ignored.
+// MarkChanged marks rows returned by TakeChanges as changed again. Rows that have expired since are ignored.
 func (a *Account) MarkChanged(rows []Row) {
 	for _, row := range rows {
 		if a.rows[row.Key] != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-// sortedRows returns totals as rows in the order of reports.
+// sortedRows returns totals as rows in report order.
 func sortedRows(totals map[Key]*Traffic) []Row {
 	rows := make([]Row, 0, len(totals))
 	for key, total := range totals {
@@ -166,7 +166,7 @@
 	return rows
 }
 
-// SortRows puts rows into the order of reports.
+// SortRows sorts rows into report order: by day, pool, pair of zones, class and customer.
 func SortRows(rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(
@@ -180,7 +180,7 @@
 	})
 }
 
-// Aggregate adds up the rows whose keys group maps to the same key, and returns them in the order of reports.
+// Aggregate adds up the rows whose keys group maps to the same key, and returns the sums in report order.
 func Aggregate(rows []Row, group func(Key) Key) []Row {
 	totals := map[Key]*Traffic{}
 	for _, row := range rows {
--- a/internal/zone/account_test.go
+++ b/internal/zone/account_test.go
@@ -11,14 +11,14 @@
 	return Key{Pair: Pair{"a", "b"}, Pool: "p", Class: "read", Customer: "acme"}
 }
 
-// twoDays is an account of two days, over the end of which the clock stepped back once.
+// twoDays returns an account of two days. The clock once stepped back from the second day to the first.
 func twoDays() *Account {
 	a := NewAccount()
 	key := accountKey()
 	a.Add(10*dayLength, key, Traffic{1, 10, 100})
 	a.Add(10*dayLength+time.Hour, key, Traffic{1, 10, 100})
 	a.Add(11*dayLength, key, Traffic{1, 1, 1})
-	a.Add(10*dayLength, key, Traffic{1, 1, 1}) // counts for the later day: no day that was reported grows again
+	a.Add(10*dayLength, key, Traffic{1, 1, 1}) // counts for the later day: the totals of a past day never change
 	return a
 }
 
@@ -29,7 +29,7 @@
 		t.Errorf("rows %+v", rows)
 	}
 	if n := len(a.TakeChanges()); n != 2 || len(a.TakeChanges()) != 0 {
-		t.Errorf("%d rows had changed", n)
+		t.Errorf("TakeChanges returned %d rows, want 2, and then none", n)
 	}
 }
 
@@ -38,7 +38,7 @@
 	a.Restore(twoDays().Rows())
 	a.Add(11*dayLength, accountKey(), Traffic{1, 1, 1})
 	if rows := a.Rows(); rows[1].Traffic != (Traffic{3, 3, 3}) || len(a.TakeChanges()) != 1 {
-		t.Errorf("after a restart %+v", rows)
+		t.Errorf("rows after a restart: %+v", rows)
 	}
 }
 
--- a/internal/zone/accounting.go
+++ b/internal/zone/accounting.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Accounting is the budgets and the account of a process, shared by the modules of its pools. Its methods may be called
+// Accounting combines the budgets and the account of a process, which the modules of all its pools share. Its methods may be called
 // from any goroutine. The lock guards all fields and is never held over I/O.
 //
-// To keep it over restarts its owner saves a lease again and again (PrepareLease, ConfirmLease), and at the end what has
-// changed since (TakeChanges).
+// To preserve the state over restarts, the owner periodically saves a lease (PrepareLease, ConfirmLease), and on shutdown
+// the remaining changes (TakeChanges).
 type Accounting struct {
 	mu             sync.Mutex
 	budgets        map[Pair]*Budget
@@ -17,7 +17,7 @@
 	leasesRequired bool
 }
 
-// NewAccounting returns an empty account, and budgets of which nothing is spent.
+// NewAccounting returns an Accounting with an empty account and unspent budgets.
 func NewAccounting(limits []Limit) *Accounting {
 	a := &Accounting{budgets: make(map[Pair]*Budget, len(limits)), account: NewAccount()}
 	for _, limit := range limits {
@@ -26,7 +26,7 @@
 	return a
 }
 
-// reserve reserves a request in the budget of a pair. A pair without a budget may always cross.
+// reserve reserves a request in the budget of a pair. A pair without a budget is unlimited.
 func (a *Accounting) reserve(now time.Duration, pair Pair, class string, size int64, outage bool) (Reservation, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,7 +36,7 @@
 	return Reservation{}, true
 }
 
-// settle ends a reservation with what was really spent on it.
+// settle replaces a reservation by the traffic that was actually used.
 func (a *Accounting) settle(now time.Duration, pair Pair, reservation Reservation, requests, bytes int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,7 +52,7 @@
 	a.account.Add(now, key, traffic)
 }
 
-// State is what is kept over a restart, or a part of it that has changed.
+// State is the persistent state of an Accounting, or the part of it that has changed.
 type State struct {
 	Rows   []Row
 	Usages []Usage
@@ -69,7 +69,7 @@
 	return state
 }
 
-// RequireLeases lets only what ConfirmLease has granted be spent of budgets from here on.
+// RequireLeases restricts spending to the leases granted by ConfirmLease from now on.
 func (a *Accounting) RequireLeases() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// PrepareLease returns the rows that changed since they were last taken, and for each budget what may be spent until the next
-// call. Once that is saved, ConfirmLease grants it; if it can't be saved, RestoreChanges takes it back.
+// PrepareLease returns the rows that changed since they were last taken, and for each budget a lease on what may be spent
+// until the next call. After saving it the caller calls ConfirmLease; if saving fails, RestoreChanges.
 func (a *Accounting) PrepareLease(now time.Duration) State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,7 +91,7 @@
 	return state
 }
 
-// ConfirmLease grants what PrepareLease returned, now that it is saved.
+// ConfirmLease grants the leases that PrepareLease returned. The caller must have saved them.
 func (a *Accounting) ConfirmLease(saved State) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,21 +102,21 @@
 	}
 }
 
-// RestoreChanges makes rows that were taken and could not be saved count as changed again.
+// RestoreChanges marks rows that were taken but could not be saved as changed again.
 func (a *Accounting) RestoreChanges(unsaved State) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.account.MarkChanged(unsaved.Rows)
 }
 
-// OldestDay is the first day that the account still keeps.
+// OldestDay returns the first day that the account retains.
 func (a *Accounting) OldestDay() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.account.OldestDay()
 }
 
-// Restore adds what was saved before a restart. The usage of pairs that have no limit any more is dropped.
+// Restore adds what was saved before a restart. The usage of pairs without a limit is dropped.
 func (a *Accounting) Restore(state State) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// SetLimits replaces the limits. What has been spent of a pair, and its lease, stay.
+// SetLimits replaces the limits. The usage and the lease of each pair that still has a limit are kept.
 func (a *Accounting) SetLimits(limits []Limit) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,7 +137,7 @@
 		budget := NewBudget(limit)
 		budget.leaseRequired = a.leasesRequired
 		if former := a.budgets[limit.Pair]; former != nil {
-			limit = budget.Limit // with its defaults
+			limit = budget.Limit // with defaults applied
 			*budget = *former
 			budget.Limit = limit
 		}
@@ -146,14 +146,14 @@
 	a.budgets = budgets
 }
 
-// Rows are the rows of the account in the order of reports.
+// Rows returns the rows of the account in report order.
 func (a *Accounting) Rows() []Row {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.account.Rows()
 }
 
-// Remaining is what the budgets still allow, by pair.
+// Remaining returns what each budget still allows, by pair.
 func (a *Accounting) Remaining(now time.Duration) map[Pair]Remaining {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/zone/budget_lease_test.go
+++ b/internal/zone/budget_lease_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// leaseMachine drives a Budget that is saved to a disk and crashes, and counts beside it what is spent over all its lives.
+// leaseMachine drives a Budget whose process saves leases to a disk and crashes. It independently counts what is spent by
+// all the processes.
 type leaseMachine struct {
 	limit  Limit
 	budget *Budget
@@ -16,7 +17,7 @@
 	spent  [periodCount]map[int64]amount
 }
 
-// start starts a process with what the disk holds.
+// start starts a process from the state on the disk.
 func (m *leaseMachine) start() {
 	m.budget = NewBudget(m.limit)
 	if m.disk != nil {
@@ -52,14 +53,14 @@
 		limit := m.budget.limit(period(p), false)
 		for number, spent := range m.spent[p] {
 			if limit.requests > 0 && spent.requests > limit.requests || limit.bytes > 0 && spent.bytes > limit.bytes {
-				t.Fatalf("period %d of %v: %+v of %+v", number, periodLengths[p], spent, m.limit)
+				t.Fatalf("period %d of %v: %+v spent, the limit is %+v", number, periodLengths[p], spent, m.limit)
 			}
 		}
 	}
 }
 
-// What is spent over any number of processes never exceeds the limit, wherever a crash comes: between two saves, just after one,
-// before or after the turn of a period. A failed save lets nothing be spent.
+// The total spent by any number of processes never exceeds the limit, wherever a crash occurs: between two saves, just after
+// one, before or after the end of a period. A failed save grants nothing.
 func TestLeaseProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &leaseMachine{
@@ -91,14 +92,14 @@
 	})
 }
 
-// Without crashes a lease costs nothing that matters: all of a limit can be spent, with a save every second, and there is no gap
-// at the turn of an hour.
-func TestLeaseSpendsAll(t *testing.T) {
+// Without crashes leases don't restrict traffic: with a save every second all of the limit can be spent, and no request is
+// denied at the start of an hour.
+func TestLeasesAllowSpendingTheWholeLimit(t *testing.T) {
 	b := NewBudget(Limit{RequestsHour: 1000})
 	b.RequireLease()
 	now := 500*time.Hour + 59*time.Minute + 50*time.Second
 	b.ConfirmLease(b.PrepareLease(now))
-	for _, want := range []int64{1000, 1000} { // ten seconds before the turn, and ten after it
+	for _, want := range []int64{1000, 1000} { // the last ten seconds of an hour, and the first ten of the next
 		spent, deniedBeforeFirst := int64(0), 0
 		for second := range 10 {
 			for range 200 {
--- a/internal/zone/budget_test.go
+++ b/internal/zone/budget_test.go
@@ -26,24 +26,24 @@
 	}
 	reserve("read", false, false)
 	reservations = append(reservations, reserve("alert-send", false, true)) // exempt
-	b.Settle(now, reservations[0], 0, 0)                                    // it did not cross after all
+	b.Settle(now, reservations[0], 0, 0)                                    // the request did not cross
 	b.Settle(now, reservations[3], 1, 150)
 	if n := b.Remaining(now).RequestsHour; n != 0 {
 		t.Errorf("%d requests remain", n)
 	}
 	b.Settle(now, reservations[1], 1, 150)
 	reserve("read", false, false)
-	reserve("read", true, true) // during an outage half of 3 is granted on top, which is one more
+	reserve("read", true, true) // during an outage half of 3, rounded down to 1, is added
 	reserve("read", true, false)
 	now += time.Hour
 	reserve("read", false, true)
-	b.Settle(now, reservations[2], 1, 150) // reserved in the hour before, and spent in that
+	b.Settle(now, reservations[2], 1, 150) // reserved, and so spent, in the previous hour
 	if n := b.Remaining(now).RequestsHour; n != 2 {
 		t.Errorf("%d requests remain in the new hour", n)
 	}
 }
 
-// A clock that steps back opens no period again, and at the end of a day both periods begin anew.
+// A clock that steps back does not reopen a period, and at the end of a day both periods start anew.
 func TestBudgetPeriodsFollowTheClock(t *testing.T) {
 	b := NewBudget(Limit{RequestsHour: 1, RequestsDay: 2})
 	now := 1000*dayLength + 23*time.Hour
@@ -57,7 +57,7 @@
 	}
 	spend(true)
 	spend(false)
-	now -= 2 * time.Hour // stepped back: the later hour goes on
+	now -= 2 * time.Hour // the clock steps back: the later hour stays current
 	spend(false)
 	now += 3 * time.Hour // the next day
 	spend(true)
@@ -82,18 +82,18 @@
 	if remaining := restored.Remaining(now); remaining.RequestsHour != 6 || remaining.BytesHour != 1<<20-2*50-2*110 {
 		t.Errorf("remaining %+v", remaining)
 	}
-	restored.Restore(Usage{Hour: 499, Requests: [periodCount]int64{9, 9}}) // of an hour that is over
+	restored.Restore(Usage{Hour: 499, Requests: [periodCount]int64{9, 9}}) // a past hour
 	if n := restored.Remaining(now).RequestsHour; n != 6 {
 		t.Errorf("%d requests remain", n)
 	}
 }
 
-// budgetMachine drives a Budget with random events, and counts beside it what crosses.
+// budgetMachine drives a Budget with random events, and independently counts what crosses.
 type budgetMachine struct {
 	limit    Limit
 	budget   *Budget
 	now      time.Duration
-	latest   time.Duration // that was seen of a clock that steps back
+	latest   time.Duration // latest time seen; the clock may step back
 	requests []reservedRequest
 	crossed  [periodCount]map[int64]amount // by period
 }
@@ -104,8 +104,8 @@
 	size        int64
 }
 
-// What crosses never exceeds the limit, but by exempt classes and by responses longer than reserved, whatever the order of events,
-// the clock and restarts.
+// Whatever the order of events, clock steps and restarts, traffic never exceeds the limit, except through exempt classes and
+// responses longer than reserved.
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{
@@ -140,7 +140,7 @@
 	m.requests = append(m.requests[:i], m.requests[i+1:]...)
 	current := [periodCount]int64{int64(m.latest / time.Hour), int64(m.latest / dayLength)}
 	if request.reservation.periods != current {
-		m.budget.Settle(m.now, request.reservation, 1, 0) // it is spent in the period that it began in
+		m.budget.Settle(m.now, request.reservation, 1, 0) // it stays spent in the period in which it was reserved
 		return
 	}
 	bytes := request.size + int64(rapid.IntRange(0, 100).Draw(t, "answer"))
@@ -162,7 +162,7 @@
 	usage := m.budget.Usage()
 	m.budget = NewBudget(m.limit)
 	m.budget.Restore(usage)
-	m.requests = nil // they died with the process, and count as spent
+	m.requests = nil // lost with the process, and counted as spent
 }
 
 func (m *budgetMachine) check(t *rapid.T) {
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// saturatedUnhealthyFactor is how much more a call to an unhealthy locality counts where no locality has room.
+// saturatedUnhealthyFactor multiplies the load of unhealthy localities when all localities are at their limits.
 const saturatedUnhealthyFactor = 16
 
-// Choose returns the localities that a request of a zone may go to: the first is for its first attempt, each of the others
-// is used only as long as no server of the localities before it is usable. mayCross says whether the budget lets the
-// request cross to a zone. It is asked only where the answer matters, and once for each locality at most. An empty result
-// means nowhere: no locality has servers, or those that have are beyond the budget or of infinite cost.
+// Choose returns the localities that a request from a zone may go to, in order of preference. Each one after the first is
+// a fallback, used only while none of the earlier ones has a usable server. mayCross reserves budget for a zone and reports
+// whether it succeeded; it is called only when needed, and at most once per locality. The result is empty if no locality has
+// servers, or if all that do are over budget or of infinite cost.
 func (s *Selector) Choose(now time.Duration, from, class string, mayCross func(to string) bool) []Locality {
 	s.Advance(now)
-	choice := localityChoice{selector: s, from: from, candidates: s.orderFrom(from), mayCross: mayCross}
+	choice := localityChoice{selector: s, from: from, candidates: s.preferenceOrder(from), mayCross: mayCross}
 	if len(choice.candidates) == 0 {
 		return []Locality{}
 	}
 	choice.answers = make([]budgetAnswer, len(choice.candidates))
-	first, found := choice.withRoom(class)
+	first, found := choice.firstWithRoom(class)
 	if !found {
 		first, found = choice.leastLoaded()
 	}
@@ -37,13 +37,13 @@
 	return chosen
 }
 
-// reliable reports whether a request sent to the locality will hardly need an alternative: another server is there for a
-// retry, and nothing has failed lately.
+// reliable reports whether a request to the locality is unlikely to need an alternative: it has a second server for a
+// retry, and no call failed or was rejected recently.
 func (l *localityState) reliable() bool {
 	return len(l.servers) > 1 && !l.degraded && l.window.failed+l.window.rejected == 0
 }
 
-// budgetAnswer is what the budget said of a candidate, which is asked once since its consent is a reservation.
+// budgetAnswer caches the result of mayCross for a candidate. mayCross is called once since it makes a reservation.
 type budgetAnswer int8
 
 const (
@@ -61,12 +61,12 @@
 	answers    []budgetAnswer // of each candidate
 }
 
-// state returns what the selector has learned of a candidate.
+// state returns the selector's state of a candidate.
 func (c *localityChoice) state(candidate int) *localityState {
 	return c.selector.states[c.candidates[candidate]]
 }
 
-// permitted reports whether the request may go to a candidate, for which the budget is asked if need be.
+// permitted reports whether the request may go to a candidate, and reserves budget for it the first time.
 func (c *localityChoice) permitted(candidate int) bool {
 	if c.answers[candidate] == notAsked {
 		c.answers[candidate] = denied
@@ -77,9 +77,9 @@
 	return c.answers[candidate] == permitted
 }
 
-// withRoom finds the first candidate that has room. One other than the preferred candidate also has to answer faster than
-// that does.
-func (c *localityChoice) withRoom(class string) (candidate int, found bool) {
+// firstWithRoom finds the first candidate below its limit. A candidate other than the preferred one must also be faster
+// than the preferred one.
+func (c *localityChoice) firstWithRoom(class string) (candidate int, found bool) {
 	for i := range c.candidates {
 		state := c.state(i)
 		if state.hasRoom() && (i == 0 || state.betterThan(c.state(0), class)) && c.permitted(i) {
@@ -89,9 +89,9 @@
 	return 0, false
 }
 
-// leastLoaded finds the candidate whose limit is exceeded the least. A candidate has to be better by betterMargin than
-// those before it in the order of preference. It is for requests that no locality has room for; whether they wait there or
-// are rejected is the decision module's choice.
+// leastLoaded finds the candidate whose limit is exceeded the least. To be chosen over an earlier
+// candidate, a later one needs a load lower by betterMargin. It is used when all localities are at their limits; the
+// decision module then queues or rejects the request.
 func (c *localityChoice) leastLoaded() (candidate int, found bool) {
 	least := math.Inf(1)
 	for i := range c.candidates {
@@ -109,8 +109,8 @@
 	return candidate, found
 }
 
-// alternative finds a healthy candidate beside the first. One is enough, and only for requests that may need it: it costs a
-// reservation of the budget until the request has ended.
+// alternative finds a healthy fallback for the first candidate. Only one is offered, and only to requests that may need
+// it, since it holds a budget reservation until the request ends.
 func (c *localityChoice) alternative(first int) (candidate int, found bool) {
 	for i := range c.candidates {
 		if i != first && !c.state(i).unhealthy && c.permitted(i) {
@@ -120,9 +120,9 @@
 	return 0, false
 }
 
-// orderFrom is the order in which the requests of a zone prefer the localities. Where the control plane gives weights to the
-// localities of a priority, these are drawn by weight, as EDS defines it, and not ordered by cost.
-func (s *Selector) orderFrom(zone string) []Locality {
+// preferenceOrder returns the localities in the order in which requests from a zone prefer them. If the control plane set
+// locality weights, the localities of a priority are drawn by weight, as in EDS, rather than ordered by cost.
+func (s *Selector) preferenceOrder(zone string) []Locality {
 	order, cached := s.orders[zone]
 	if !cached {
 		if len(s.orders) >= MaxZones {
@@ -149,7 +149,7 @@
 // drawByWeight shuffles localities by weighted sampling without replacement. Those without a weight come last, in their order.
 func (s *Selector) drawByWeight(localities []Locality) {
 	weight := func(l Locality) float64 { return s.states[l].weight }
-	slices.SortStableFunc(localities, func(a, b Locality) int { return trueFirst(weight(a) > 0, weight(b) > 0) })
+	slices.SortStableFunc(localities, func(a, b Locality) int { return compareTrueFirst(weight(a) > 0, weight(b) > 0) })
 	for i := range localities {
 		total := 0.0
 		for _, l := range localities[i:] {
--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -9,7 +9,7 @@
 	"cranegrade/balancer"
 )
 
-// Locality is what a Selector chooses among: the servers of one zone and one priority.
+// Locality identifies the servers of one zone and one priority.
 type Locality = balancer.Place
 
 // Pair is a direction between zones: from the zone of the client to the zone of the server.
@@ -18,11 +18,10 @@
 // Cost is the cost of a call between two zones.
 type Cost struct {
 	Latency time.Duration // added to a call, for the round trip
-	Price   float64       // of one request, in a unit of the operator's choice; +Inf if the pair is never used
+	Price   float64       // of one request, in any unit used consistently; +Inf excludes the pair
 }
 
-// UnknownZonePolicy says how servers are used whose zone is not known. Their traffic is accounted under the zone "" in any
-// case.
+// UnknownZonePolicy defines how servers without a known zone are used. Their traffic is always accounted under the zone "".
 type UnknownZonePolicy int
 
 // The policies for servers without a zone.
@@ -32,7 +31,7 @@
 	UnknownZoneNever                           // not at all
 )
 
-// String is the policy as the operator's file calls it.
+// String returns the name of the policy in the configuration file.
 func (p UnknownZonePolicy) String() string {
 	switch p {
 	case UnknownZoneLast:
@@ -52,7 +51,7 @@
 	DefaultCost     Cost    // of pairs that are missing in Costs
 	LatencyWeight   float64 // cost of one second of latency, in the unit of Price
 	UnknownZones    UnknownZonePolicy
-	Nodes           int                      // instances that share the servers; 0 counts as 1
+	Nodes           int                      // load balancer instances that share the servers; 0 counts as 1
 	LatencyTargets  map[string]time.Duration // by class; default one second
 	MaxAttempts     int                      // of one request; 0 counts as 1
 	InitialLimit    float64                  // calls in flight at one server of the home zone at the start; default 5
@@ -60,7 +59,7 @@
 	SlowStartWindow time.Duration            // time from its start until a server has its full capacity
 }
 
-// cost is the cost of one call in the unit of prices. Calls within a zone are free.
+// cost returns the cost of one call in the unit of Cost.Price. Calls within a zone are free.
 func (c *Config) cost(from, to string) float64 {
 	if from == to || to == "" && c.UnknownZones == UnknownZoneAsHome && from == c.Home {
 		return 0
@@ -71,7 +70,7 @@
 			return math.Inf(1)
 		case UnknownZoneLast:
 			return math.MaxFloat64
-		case UnknownZoneAsHome: // from other zones than home: what the pair costs
+		case UnknownZoneAsHome: // from zones other than home, the cost of the pair applies
 		}
 	}
 	pairCost, configured := c.Costs[Pair{From: from, To: to}]
@@ -81,17 +80,17 @@
 	return pairCost.Price + c.LatencyWeight*pairCost.Latency.Seconds()
 }
 
-// MaxZones bounds the zones that are told apart. Servers of further zones count as servers without a zone.
+// MaxZones bounds the number of localities that are tracked. Servers of further ones are treated as servers without a zone.
 const MaxZones = 64
 
 // order returns the localities that the requests of a zone may use, in order of preference: by priority, then the zone itself,
-// then by cost. Localities of infinite cost are left out.
+// then by cost. Localities of infinite cost are omitted.
 func (c *Config) order(from string, localities []Locality) []Locality {
 	usable := slices.DeleteFunc(slices.Clone(localities), func(l Locality) bool { return math.IsInf(c.cost(from, l.Zone), 1) })
 	slices.SortFunc(usable, func(a, b Locality) int {
 		return cmp.Or(
 			cmp.Compare(a.Priority, b.Priority),
-			trueFirst(a.Zone == from, b.Zone == from),
+			compareTrueFirst(a.Zone == from, b.Zone == from),
 			cmp.Compare(c.cost(from, a.Zone), c.cost(from, b.Zone)),
 			cmp.Compare(a.Zone, b.Zone),
 		)
@@ -99,8 +98,8 @@
 	return usable
 }
 
-// trueFirst orders true before false.
-func trueFirst(a, b bool) int {
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/zone/config_test.go
+++ b/internal/zone/config_test.go
@@ -52,12 +52,12 @@
 	}
 }
 
-func TestUnknownZonePolicyIsCalledAsInTheOperatorsFile(t *testing.T) {
+func TestUnknownZonePolicyNames(t *testing.T) {
 	for policy, want := range map[UnknownZonePolicy]string{
 		UnknownZoneLast: "last", UnknownZoneAsHome: "home", UnknownZoneNever: "never", UnknownZonePolicy(9): "invalid",
 	} {
 		if got := policy.String(); got != want {
-			t.Errorf("policy %d is called %q, want %q", int(policy), got, want)
+			t.Errorf("policy %d has the name %q, want %q", int(policy), got, want)
 		}
 	}
 }
--- a/internal/zone/locality.go
+++ b/internal/zone/locality.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// How the limit on the calls of a locality adapts. It rises by more than homeTuning.increase a step only when servers join or
-// finish their slow start, and falls by more than unhealthyDecrease only when servers leave.
+// Parameters of the adaptive concurrency limit of a locality. In one step the limit rises by more than homeTuning.increase
+// only when servers join or finish their slow start, and falls by more than unhealthyDecrease only when servers leave.
 const (
 	unhealthyDecrease = 0.7 // factor for a step in which most calls failed
-	crowdedDecrease   = 0.9 // factor for a step with high latency or rejected calls
+	congestedDecrease = 0.9 // factor for a step with high latency or rejected calls
 
 	unhealthyShare = 0.5 // share of failed calls above which a locality is unhealthy,
-	recoveredShare = 0.2 // and down to which it must fall to be healthy again
-	rejectedShare  = 0.1 // share of rejected calls above which a locality is crowded
-	usedShare      = 0.8 // share of the limit that must have been used before it is raised
+	recoveredShare = 0.2 // and at or below which it is healthy again
+	rejectedShare  = 0.1 // share of rejected calls above which a locality is congested
+	limitUsedShare = 0.8 // share of the limit that must have been used before it is raised
 
-	enoughOutcomes = 8  // outcomes after which a window is evaluated,
-	maxWindowSteps = 10 // and steps after which it is evaluated with fewer
+	minOutcomes    = 8  // outcomes after which a window is evaluated,
+	maxWindowSteps = 10 // and steps after which one with fewer outcomes is evaluated
 
 	defaultInitialLimit = 5.0    // calls in flight for each server at the start
-	awayInitialShare    = 0.2    // of the initial limit, for localities of other zones
+	remoteInitialShare  = 0.2    // of the initial limit, for localities of other zones
 	maxCallsPerUnit     = 1000.0 // bounds of the calls in flight for each unit of capacity
-	minCallsPerUnit     = 2.0    // by all instances together; an unhealthy locality gets unhealthyMinimum of it,
-	unhealthyMinimum    = 0.02   // which suffices to find out that it has recovered
+	minCallsPerUnit     = 2.0    // summed over all instances; multiplied by unhealthyMinimum for an unhealthy locality,
+	unhealthyMinimum    = 0.02   // which suffices to detect its recovery
 
-	betterMargin     = 0.2  // difference of mean log latencies by which another locality must be better than the first
-	latencySmoothing = 0.02 // weight of one answer in the moving mean of log latencies
-	maxClasses       = 64   // classes whose latency is told apart in one locality
+	betterMargin     = 0.2  // margin in mean log latency, or share of the load, by which a less preferred locality must be better
+	latencySmoothing = 0.02 // weight of a new sample in the exponential moving average of log latencies
+	maxClasses       = 64   // classes whose latency is tracked separately in one locality
 )
 
-// limitTuning says at which latency the limit of a locality changes, as shares of the class's latency target.
+// limitTuning sets the latencies at which the limit of a locality changes, as shares of the class's latency target.
 type limitTuning struct {
-	crowded  float64 // mean latency above which the limit falls
-	easy     float64 // mean latency below which it may rise
-	increase float64 // factor of one rise
+	decreaseAbove float64 // mean latency above which the limit falls
+	increaseBelow float64 // mean latency below which the limit may rise
+	increase      float64 // factor by which it rises in one step
 }
 
-// Other zones get a lower share of the target and a slower rise: their own load must have time to show, and it goes on
-// where ours has to give way.
+// Other zones get a lower share of the target and a slower rise: the load of their own
+// clients needs time to show in the latency, and has precedence over traffic from this node.
 var (
-	homeTuning = limitTuning{crowded: 0.4, easy: 0.3, increase: 1.05}
-	awayTuning = limitTuning{crowded: 0.3, easy: 0.2, increase: 1.025}
+	homeTuning   = limitTuning{decreaseAbove: 0.4, increaseBelow: 0.3, increase: 1.05}
+	remoteTuning = limitTuning{decreaseAbove: 0.3, increaseBelow: 0.2, increase: 1.025}
 )
 
-// localityState is what a Selector has learned of a locality, with the adaptive limit on this node's calls there.
+// localityState is a Selector's state of a locality, with the adaptive limit on this node's calls there.
 type localityState struct {
 	locality Locality
 	home     bool
@@ -53,20 +53,20 @@
 	weight   float64             // the control plane's locality weight; 0 if it sent none
 	capacity float64             // sum of the servers' sizes, reduced during their slow start
 
-	callsPerUnit float64 // this node's calls in flight that one unit of capacity takes
+	callsPerUnit float64 // limit on this node's calls in flight for each unit of capacity
 	inFlight     int     // this node's calls there
 
 	window         observationWindow
-	unhealthy      bool                // most calls fail
-	degraded       bool                // some calls failed or were rejected in the last window
+	unhealthy      bool                // whether most calls fail
+	degraded       bool                // whether calls failed or were rejected in the last window
 	meanLogLatency map[string]*float64 // moving mean of the logarithm of latencies (ns), by class
 }
 
-// observationWindow counts what happened since the limit was last adjusted.
+// observationWindow counts attempts and their outcomes since the last adjustment of the limit.
 type observationWindow struct {
-	peak                        int // most calls in flight
+	peak                        int // maximum number of calls in flight
 	succeeded, failed, rejected int
-	started                     int     // attempts in the present step
+	startedInStep               int     // attempts started in the current step
 	logLatencyRatio             float64 // sum over successes of log(mean latency / latency target)
 	steps                       int
 }
@@ -74,16 +74,17 @@
 // outcomes returns how many attempts ended in the window.
 func (w *observationWindow) outcomes() int { return w.succeeded + w.failed + w.rejected }
 
-// conclusive reports whether there are enough outcomes, or whether there will hardly be more soon.
+// conclusive reports whether the window has enough outcomes, or is old enough to be evaluated with fewer.
 func (w *observationWindow) conclusive() bool {
 	outcomes := w.outcomes()
-	return outcomes >= enoughOutcomes || outcomes > 0 && w.steps >= maxWindowSteps
+	return outcomes >= minOutcomes || outcomes > 0 && w.steps >= maxWindowSteps
 }
 
-// share returns a count as a share of the outcomes, of which there must be some.
+// share returns a count as a share of the outcomes. The window must have at least one.
 func (w *observationWindow) share(count int) float64 { return float64(count) / float64(w.outcomes()) }
 
-// meanLogLatencyRatio is below zero where answers are faster than the latency target.
+// meanLogLatencyRatio returns the mean of log(mean latency / latency target), which is negative if calls are faster than
+// the target.
 func (w *observationWindow) meanLogLatencyRatio() float64 {
 	if w.succeeded == 0 {
 		return 0
@@ -96,7 +97,7 @@
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone))
 }
 
-// limit is how many of this node's calls may be in flight at the locality: at least one while it has servers at all.
+// limit returns how many of this node's calls may be in flight at the locality: at least one if it has servers.
 func (l *localityState) limit() float64 {
 	if len(l.servers) == 0 {
 		return 0
@@ -104,37 +105,38 @@
 	return max(1, l.callsPerUnit*l.capacity)
 }
 
-// hasRoom reports whether the locality may get one more call. An unhealthy locality gets only a few calls a step, as a
-// health check: calls that fail at once leave it without calls in flight, so the limit alone would send it the first
-// attempt of every request.
+// hasRoom reports whether the locality may receive another call. The number of calls that an unhealthy locality receives
+// in a step is bounded as well, so that they only probe for its recovery: calls that fail immediately never stay in flight,
+// so the limit alone would let it receive the first attempt of every request.
 func (l *localityState) hasRoom() bool {
 	if float64(l.inFlight) >= l.limit() {
 		return false
 	}
-	return !l.unhealthy || float64(l.window.started) < max(1, l.limit()/2)
+	return !l.unhealthy || float64(l.window.startedInStep) < max(1, l.limit()/2)
 }
 
-// betterThan reports whether calls of a class are answered faster here than at another locality, by a margin, or whether the
-// latencies are not known yet. Without this condition zones crowd each other out: the excess of one zone displaces the load
-// of the next one into a third, until most calls are away from home and no faster for it.
+// betterThan reports whether calls of a class are faster here than at the other locality by betterMargin. It is also true if
+// the other locality is unhealthy or one of the latencies is unknown. Without this condition the excess load of one zone
+// would displace that of a second into a third, until most calls cross zones without being any faster.
 func (l *localityState) betterThan(other *localityState, class string) bool {
 	here, there := l.meanLogLatency[class], other.meanLogLatency[class]
 	return other.unhealthy || here == nil || there == nil || *here < *there-betterMargin
 }
 
-// adjust adapts the limit to the outcomes since the last adjustment. minimum is the least callsPerUnit of a healthy locality.
+// adjust adapts the limit to the outcomes since the last adjustment. minimum is the lower bound of callsPerUnit for a
+// healthy locality.
 func (l *localityState) adjust(minimum float64) {
 	window := &l.window
 	window.steps++
 	if !window.conclusive() {
-		window.started = 0
+		window.startedInStep = 0
 		return
 	}
 	failedShare := window.share(window.failed)
 	l.unhealthy = failedShare > unhealthyShare || l.unhealthy && failedShare > recoveredShare
 	l.degraded = window.failed+window.rejected > 0
 
-	tuning := awayTuning
+	tuning := remoteTuning
 	if l.home {
 		tuning = homeTuning
 	}
@@ -143,18 +145,18 @@
 	case l.unhealthy:
 		l.callsPerUnit *= unhealthyDecrease
 		minimum *= unhealthyMinimum
-	case latencyRatio > math.Log(tuning.crowded) || window.share(window.rejected) > rejectedShare:
-		l.callsPerUnit *= crowdedDecrease
-	case latencyRatio < math.Log(tuning.easy) && float64(window.peak) >= usedShare*l.limit():
-		// Proportional, but by enough that a small locality's whole limit rises as well.
+	case latencyRatio > math.Log(tuning.decreaseAbove) || window.share(window.rejected) > rejectedShare:
+		l.callsPerUnit *= congestedDecrease
+	case latencyRatio < math.Log(tuning.increaseBelow) && float64(window.peak) >= limitUsedShare*l.limit():
+		// Proportional, with a minimum increment so that the limit of a small locality rises as well.
 		l.callsPerUnit = max(l.callsPerUnit*tuning.increase, l.callsPerUnit+(tuning.increase-1)/max(1, l.capacity))
 	}
 	l.callsPerUnit = min(maxCallsPerUnit, max(l.callsPerUnit, minimum))
 	l.window = observationWindow{peak: l.inFlight}
 }
 
-// observeLatency adds a latency to the moving mean of its class and returns the mean. The mean is used in place of the latency
-// itself since the work of single requests varies too much. Classes beyond maxClasses share the mean of the class "".
+// observeLatency adds a latency to the moving mean of its class and returns the mean. The limit follows the
+// mean since the latency of single requests varies too much. Classes beyond maxClasses share the mean of the class "".
 func (l *localityState) observeLatency(class string, latency time.Duration) float64 {
 	if l.meanLogLatency[class] == nil && len(l.meanLogLatency) >= maxClasses {
 		class = ""
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -7,12 +7,12 @@
 	"cranegrade/balancer"
 )
 
-// DecisionModule decides over the requests of a pool; engine.Module is the same.
+// DecisionModule selects servers for the requests of a pool. It has the same methods as engine.Module.
 type DecisionModule interface {
 	Handle(now time.Duration, event balancer.Event) []balancer.Action
 }
 
-// Module wraps the decision module of a pool. It names in each request the localities that it may go to, keeps the budgets, and
+// Module wraps the decision module of a pool. It sets the permitted localities of each request, enforces the budgets, and
 // accounts for the traffic between zones. It belongs to the goroutine of the pool's engine; only Localities may be called from
 // any goroutine.
 type Module struct {
@@ -21,31 +21,31 @@
 	home              string
 	selector          *Selector
 	accounting        *Accounting
-	localities        map[string]Locality // of servers, by ID; also of some that were removed while they had calls
-	listed            map[string]bool     // servers on the list, by ID
-	open              map[string]*openRequest
+	localities        map[string]Locality // by server ID; includes some removed servers, which may still have calls in flight
+	listed            map[string]bool     // IDs of the servers in the endpoint list
+	openRequests      map[string]*openRequest
 	maxAttempts       int64
 	publishedStatus   atomic.Pointer[[]LocalityStatus]
 	statusPublishedAt time.Duration
 }
 
-// openRequest is a request that has no final answer yet, or attempts in flight.
+// openRequest is a request without a final response, or with attempts still in flight.
 type openRequest struct {
 	class        string
 	customer     string
 	from         string // zone of the client
-	size         int64  // of its body, in bytes
+	size         int64  // of the request body, in bytes
 	attempts     []attempt
 	inFlight     int
 	answered     bool
-	reservations map[string]spentReservation // by the zone that the request may cross to
+	reservations map[string]trackedReservation // by destination zone
 }
 
-// spentReservation is a reservation and what has been spent on it.
-type spentReservation struct {
+// trackedReservation is a budget reservation and the traffic charged to it so far.
+type trackedReservation struct {
 	reservation Reservation
-	bytes       int64
-	used        bool
+	bytes       int64 // of bodies sent and received
+	used        bool  // whether an attempt was written to the zone
 }
 
 // attempt is one attempt of an open request.
@@ -56,31 +56,31 @@
 	ended    bool
 }
 
-// NewModule wraps the decision module of a pool. Modules of one process share the accounting. Equal seeds and events give equal
-// decisions.
+// NewModule wraps the decision module of a pool. All modules of a process share one Accounting. Equal seeds and
+// events give equal decisions.
 func NewModule(next DecisionModule, pool string, config Config, accounting *Accounting, seed uint64) *Module {
 	m := &Module{
-		next:        next,
-		pool:        pool,
-		home:        config.Home,
-		selector:    NewSelector(config, seed),
-		accounting:  accounting,
-		maxAttempts: int64(max(1, config.MaxAttempts)),
-		localities:  map[string]Locality{},
-		listed:      map[string]bool{},
-		open:        map[string]*openRequest{},
+		next:         next,
+		pool:         pool,
+		home:         config.Home,
+		selector:     NewSelector(config, seed),
+		accounting:   accounting,
+		maxAttempts:  int64(max(1, config.MaxAttempts)),
+		localities:   map[string]Locality{},
+		listed:       map[string]bool{},
+		openRequests: map[string]*openRequest{},
 	}
 	m.publishedStatus.Store(&[]LocalityStatus{})
 	return m
 }
 
-// statusInterval is how old the result of Localities may be.
+// statusInterval is the interval at which the result of Localities is refreshed.
 const statusInterval = time.Second
 
-// Localities is the state of the pool's localities as of a moment ago. It may be called from any goroutine.
+// Localities returns the most recently published state of the pool's localities. It may be called from any goroutine.
 func (m *Module) Localities() []LocalityStatus { return *m.publishedStatus.Load() }
 
-// Beliefs returns the estimates of the wrapped decision module, for a trace around this one.
+// Beliefs returns the estimates of the wrapped decision module, for a tracer that wraps this Module.
 func (m *Module) Beliefs(servers int) balancer.Beliefs {
 	if estimator, ok := m.next.(interface {
 		Beliefs(int) balancer.Beliefs
@@ -90,7 +90,8 @@
 	return balancer.Beliefs{}
 }
 
-// Handle passes an event on to the decision module, a request with the localities that it may go to, and returns its actions.
+// Handle passes an event to the decision module and returns the resulting actions. To a request it first adds the
+// permitted localities.
 func (m *Module) Handle(now time.Duration, event balancer.Event) []balancer.Action {
 	switch e := event.(type) {
 	case balancer.ServerList:
@@ -122,7 +123,7 @@
 	return actions
 }
 
-// removedServersKept is how many more entries than twice the listed servers m.localities may have.
+// removedServersKept bounds m.localities: it may exceed twice the number of listed servers by this many entries.
 const removedServersKept = 64
 
 // updateServers applies an update of the endpoint list.
@@ -152,7 +153,8 @@
 	m.forgetRemovedServers()
 }
 
-// forgetRemovedServers bounds what is kept of servers that were removed. Attempts in flight know their locality themselves.
+// forgetRemovedServers drops the localities of removed servers when there are too many. Attempts in flight store their own
+// locality and don't need them.
 func (m *Module) forgetRemovedServers() {
 	if len(m.localities) <= 2*len(m.listed)+removedServersKept {
 		return
@@ -164,7 +166,7 @@
 	}
 }
 
-// chooseLocalities decides where a request may go, and reserves the budget that it needs to cross.
+// chooseLocalities returns the localities that a request may go to, and reserves budget for those in other zones.
 func (m *Module) chooseLocalities(now time.Duration, request balancer.Request) []Locality {
 	r := &openRequest{class: request.Class, customer: request.Tenant, from: request.From, size: request.Size}
 	if !m.selector.KnowsZone(r.from) {
@@ -175,19 +177,19 @@
 		reservation, ok := m.accounting.reserve(now, Pair{From: r.from, To: to}, r.class, m.maxAttempts*r.size, outage)
 		if ok {
 			if r.reservations == nil {
-				r.reservations = make(map[string]spentReservation, 2)
+				r.reservations = make(map[string]trackedReservation, 2)
 			}
-			r.reservations[to] = spentReservation{reservation: reservation}
+			r.reservations[to] = trackedReservation{reservation: reservation}
 		}
 		return ok
 	})
-	m.open[request.ID] = r
+	m.openRequests[request.ID] = r
 	return localities
 }
 
 // attemptStarted records an attempt of an open request.
 func (m *Module) attemptStarted(now time.Duration, send balancer.Send) {
-	request := m.open[send.ID]
+	request := m.openRequests[send.ID]
 	if request == nil {
 		return
 	}
@@ -197,9 +199,9 @@
 	m.selector.AttemptStarted(now, locality)
 }
 
-// attemptEnded records the outcome of an attempt. Outcomes of unknown attempts, and second ones, are ignored.
+// attemptEnded records the outcome of an attempt. It ignores unknown attempts and repeated outcomes.
 func (m *Module) attemptEnded(now time.Duration, outcome balancer.Outcome) {
-	request := m.open[outcome.ID]
+	request := m.openRequests[outcome.ID]
 	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) {
 		return
 	}
@@ -219,11 +221,11 @@
 	m.closeIfDone(now, outcome.ID, request)
 }
 
-// accountFor accounts for an attempt whose request was written completely.
+// accountFor adds an attempt to the account and to its reservation. The request must have been written completely.
 func (m *Module) accountFor(now time.Duration, request *openRequest, attempt *attempt, outcome balancer.Outcome) {
 	zone := attempt.locality.Zone
 	if outcome.Server != attempt.server {
-		// A proxy that only asked for the decision sent it elsewhere. The zone is unknown if that server is not listed.
+		// An external proxy sent the request to another server than the one chosen. Its zone is unknown if it is not listed.
 		zone = m.localities[outcome.Server].Zone
 	}
 	key := Key{
@@ -240,15 +242,15 @@
 	}
 }
 
-// requestAnswered records that a request has its final answer, or that its client has left.
+// requestAnswered records that a request has its final response, or that its client has disconnected.
 func (m *Module) requestAnswered(now time.Duration, id string) {
-	if request := m.open[id]; request != nil {
+	if request := m.openRequests[id]; request != nil {
 		request.answered = true
 		m.closeIfDone(now, id, request)
 	}
 }
 
-// closeIfDone settles the reservations of a request that is answered and has no attempt in flight, and forgets it.
+// closeIfDone settles the reservations of a request and removes it, once it is answered and has no attempt in flight.
 func (m *Module) closeIfDone(now time.Duration, id string, request *openRequest) {
 	if !request.answered || request.inFlight > 0 {
 		return
@@ -260,5 +262,5 @@
 		}
 		m.accounting.settle(now, Pair{From: request.from, To: to}, spent.reservation, requests, spent.bytes)
 	}
-	delete(m.open, id)
+	delete(m.openRequests, id)
 }
--- a/internal/zone/module_test.go
+++ b/internal/zone/module_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/balancer"
 )
 
-// serversOf are ready servers s0, s1, ... of the given zones.
+// serversOf returns ready servers s0, s1, ... in the given zones.
 func serversOf(zones ...string) []balancer.Server {
 	var servers []balancer.Server
 	for i, zone := range zones {
@@ -18,7 +18,7 @@
 	return servers
 }
 
-// newModule wraps a real decision module, as a node does.
+// newModule returns a Module around a real decision module, as in a node.
 func newModule(t testing.TB, config Config, limits ...Limit) (*Module, *Accounting) {
 	t.Helper()
 	next, err := balancer.New(balancer.Settings{
@@ -38,7 +38,7 @@
 	return NewModule(next, "p", config, accounting, 1), accounting
 }
 
-// sent is the last Send among actions; rejected says that a Reject is among them.
+// sent returns the last Send among the actions, and whether there is a Reject among them.
 func sent(actions []balancer.Action) (send balancer.Send, rejected bool) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -51,8 +51,8 @@
 	return send, rejected
 }
 
-// The home zone fails and the budget is used up: further requests are rejected at once, except those of the exempt class, and the
-// account shows what crossed.
+// When the home zone has failed and the budget is exhausted, further requests are rejected at once, except those of exempt
+// classes. The account shows the requests that crossed.
 func TestExhaustedBudgetRejectsAllButExemptClasses(t *testing.T) {
 	m, accounting := newModule(t, Config{Home: "a"}, Limit{Pair: Pair{"a", "b"}, RequestsHour: 2, ExemptClasses: []string{"alert-send"}})
 	now := 1000 * time.Hour
@@ -66,7 +66,7 @@
 	}
 	send, _ := request("read")
 	if send.Server != "s0" {
-		t.Fatalf("goes to %s, not home", send.Server)
+		t.Fatalf("the request goes to %s, want the home server s0", send.Server)
 	}
 	succeed(send)
 	m.Handle(now, balancer.ServerList{Servers: []balancer.Server{{ID: "s0", Zone: "a", State: balancer.Gone}}})
@@ -78,7 +78,7 @@
 		succeed(send)
 	}
 	if send, rejected := request("read"); !rejected {
-		t.Errorf("beyond the budget it goes to %s", send.Server)
+		t.Errorf("a request beyond the budget goes to %s", send.Server)
 	}
 	send, rejected := request("alert-send")
 	if rejected {
@@ -92,14 +92,15 @@
 		}
 	}
 	if crossed != (Traffic{3, 30, 60}) {
-		t.Errorf("crossed %+v", crossed)
+		t.Errorf("traffic between zones: %+v", crossed)
 	}
-	if len(m.open) != 0 {
-		t.Errorf("%d requests are kept", len(m.open))
+	if len(m.openRequests) != 0 {
+		t.Errorf("%d finished requests are still stored", len(m.openRequests))
 	}
 }
 
-// A request that fails at home is retried in another zone and spends its reservation; one that succeeds at home gives it back.
+// A request that fails in the home zone is retried in another zone and spends its reservation. One that succeeds in the home
+// zone returns it.
 func TestRetryInAnotherZoneSpendsItsReservation(t *testing.T) {
 	m, accounting := newModule(t, Config{Home: "a"}, Limit{Pair: Pair{"a", "b"}, RequestsHour: 100})
 	now := 1000 * time.Hour
@@ -107,7 +108,7 @@
 	m.Handle(now, balancer.ServerList{Full: true, Servers: serversOf("a", "b")})
 	send, _ := sent(m.Handle(now, balancer.Request{ID: "1", Class: "read", Deadline: now + 2*time.Second}))
 	if send.Server != "s0" {
-		t.Fatalf("goes to %s", send.Server)
+		t.Fatalf("the first attempt goes to %s", send.Server)
 	}
 	if n := remaining(); n != 99 {
 		t.Errorf("%d requests remain while one may cross", n)
@@ -127,7 +128,8 @@
 	}
 }
 
-// A proxy of one zone that asks a node of another is accounted by its own zone. A zone that is made up counts as home.
+// Traffic of a proxy that uses a node in another zone is accounted under the proxy's zone. A zone name that does not exist
+// counts as the home zone.
 func TestTrafficIsAccountedByTheClientsZone(t *testing.T) {
 	m, accounting := newModule(t, Config{Home: "a"})
 	now := 1000 * time.Hour
@@ -144,7 +146,7 @@
 	}
 }
 
-// randomTraffic drives a Module with random events, and counts beside it what was written.
+// randomTraffic drives a Module with random events, and independently counts the traffic written.
 type randomTraffic struct {
 	module   *Module
 	random   *rand.Rand
@@ -168,7 +170,7 @@
 	}
 }
 
-// step is the i-th event: a request, an update of the list, a client that leaves, or the end of an attempt.
+// step makes the i-th event: a request, a server list update, a client disconnect, or the end of an attempt.
 func (r *randomTraffic) step(i int) {
 	random := r.random
 	r.now += time.Duration(random.IntN(20)) * ms
@@ -202,18 +204,18 @@
 	})
 }
 
-// drain ends all attempts by a time-out, and lets the clients of requests leave that wait for a server.
+// drain times out all attempts, and disconnects the clients of requests that are waiting for a server.
 func (r *randomTraffic) drain() {
 	for r.now += 10 * time.Second; len(r.inFlight) > 0; r.inFlight = r.inFlight[1:] {
 		r.end(r.inFlight[0], balancer.TimedOut)
 	}
-	for id := range r.module.open {
+	for id := range r.module.openRequests {
 		r.handle(balancer.ClientGone{ID: id})
 	}
 }
 
-// After any course of events nothing is kept of requests that are over, budgets have nothing reserved, and what is accounted is
-// what was written.
+// After any sequence of events no finished request is stored, no budget has a reservation left, and the account equals the
+// traffic written.
 func TestModuleForgetsFinishedRequests(t *testing.T) {
 	for seed := range uint64(30) {
 		m, accounting := newModule(t, Config{Home: "a"}, Limit{Pair: Pair{"a", "b"}, RequestsDay: 50}, Limit{Pair: Pair{"a", "c"}, BytesDay: 1 << 20})
@@ -223,8 +225,8 @@
 			traffic.step(i)
 		}
 		traffic.drain()
-		if len(m.open) != 0 {
-			t.Fatalf("seed %d: %d requests are kept", seed, len(m.open))
+		if len(m.openRequests) != 0 {
+			t.Fatalf("seed %d: %d finished requests are still stored", seed, len(m.openRequests))
 		}
 		total := Aggregate(accounting.Rows(), func(Key) Key { return Key{} })
 		if len(total) != 1 || total[0].Traffic != traffic.written {
@@ -241,7 +243,7 @@
 	}
 }
 
-// BenchmarkModuleHandle is a request's way through a Module and the decision module; with 0 zones through the latter alone.
+// BenchmarkModuleHandle measures a request through a Module and its decision module, or with 0 zones the latter alone.
 func BenchmarkModuleHandle(b *testing.B) {
 	for _, zones := range []int{0, 3, 12} {
 		b.Run(fmt.Sprint(zones, " zones"), func(b *testing.B) {
--- a/internal/zone/priority.go
+++ b/internal/zone/priority.go
@@ -1,17 +1,17 @@
 package zone
 
 // The functions of this file are the arithmetic of Envoy's priority levels and locality weights, as its documentation
-// defines it: load spills over by the share of healthy hosts. They decide nothing here; they are the reference that a
-// Selector is compared with (package model).
+// defines it: load spills over by the share of healthy hosts. A Selector does not use them; package model compares it with
+// them.
 
-// OverprovisioningFactor is Envoy's default: a priority level is trusted with all of its load until fewer than
+// OverprovisioningFactor is Envoy's default: a priority level receives all of its load until fewer than
 // 1/1.4 = 72 % of its hosts are healthy.
 const OverprovisioningFactor = 1.4
 
 // HostCount counts the hosts of a priority level or a locality.
 type HostCount struct{ Healthy, All int }
 
-// health is the specification's health of a level: its share of healthy hosts times the overprovisioning factor, at most 1.
+// health returns the health of a level as Envoy defines it: its share of healthy hosts times the overprovisioning factor, at most 1.
 func (c HostCount) health(factor float64) float64 {
 	if c.All == 0 {
 		return 0
@@ -19,7 +19,7 @@
 	return min(1, factor*float64(c.Healthy)/float64(c.All))
 }
 
-// PriorityLoads are the shares of the load by priority level. They add up to 1, or are all 0 if no host is healthy.
+// PriorityLoads returns the shares of the load by priority level. They add up to 1, or are all 0 if no host is healthy.
 func PriorityLoads(levels []HostCount, factor float64) []float64 {
 	loads := make([]float64, len(levels))
 	total := 0.0
@@ -38,7 +38,7 @@
 	return loads
 }
 
-// LocalityLoads are the shares of a level's load by locality: its weight times its health, scaled to add up to 1. All are 0
+// LocalityLoads returns the shares of a level's load by locality: its weight times its health, scaled to add up to 1. All are 0
 // if no locality has both.
 func LocalityLoads(weights []float64, hosts []HostCount, factor float64) []float64 {
 	loads := make([]float64, len(weights))
@@ -55,9 +55,9 @@
 	return loads
 }
 
-// AwareLoads are the shares of a zone's load by zone under zone aware routing. All of it stays in the home zone if that has
-// at least the share of the healthy hosts that it has of the load. Otherwise it keeps what its hosts can take by that
-// measure, and the rest is spread by the hosts that the other zones have beyond their own load. Both slices are indexed by
+// AwareLoads returns how zone aware routing distributes the load of the home zone over the zones. All of it stays at home
+// if the home zone's share of the healthy hosts is at least its share of the load. Otherwise the home zone keeps the part
+// for which its hosts suffice, and the rest goes to the other zones in proportion to their spare hosts. Both slices are indexed by
 // zone.
 func AwareLoads(home int, loads []float64, healthy []int) []float64 {
 	shares := make([]float64, len(loads))
--- a/internal/zone/priority_test.go
+++ b/internal/zone/priority_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The examples of Envoy's documentation of priority levels, and levels without hosts.
+// The examples from Envoy's documentation of priority levels, and levels without hosts.
 func TestPriorityLoads(t *testing.T) {
 	for _, c := range []struct {
 		levels []HostCount
--- a/internal/zone/selector.go
+++ b/internal/zone/selector.go
@@ -9,39 +9,39 @@
 	"cranegrade/balancer"
 )
 
-// StepInterval is how often the limits of localities are adjusted at most.
+// StepInterval is the minimum time between adjustments of the locality limits.
 const StepInterval = 100 * time.Millisecond
 
-// defaultLatencyTarget is for classes without a latency target.
+// defaultLatencyTarget applies to classes without a configured latency target.
 const defaultLatencyTarget = time.Second
 
-// selectorStream is the second half of the seed of a Selector's generator, which keeps its draws apart from those of others
-// that have the same seed.
-const selectorStream = 0x20e5
+// randomStream is the second half of the seed of a Selector's random generator. It makes the generator independent of
+// others that have the same first half.
+const randomStream = 0x20e5
 
-// Selector decides which localities requests go to. Its owner tells it of the servers, and of the start and the end of each
-// attempt. It belongs to one goroutine. Times are durations since an origin of the owner's choice.
+// Selector chooses the localities of requests. The caller reports server list updates, and the start and end of each
+// attempt. It must be used by one goroutine only. Times are durations since any fixed origin.
 type Selector struct {
 	config     Config
 	random     *rand.Rand
-	now        time.Duration // of the latest event; never goes back
+	now        time.Duration // time of the latest event; never decreases
 	nextStep   time.Duration
 	states     map[Locality]*localityState
-	localities []Locality            // those that have servers, by priority and zone
-	orders     map[string][]Locality // by the zone that requests come from; made when needed
-	servers    map[string]knownServer
-	weighted   bool            // some locality has had a weight
-	configured map[string]bool // zones that Config.Costs names; made when needed
+	localities []Locality            // those with servers, sorted by priority and zone
+	orders     map[string][]Locality // preference orders, cached by client zone
+	servers    map[string]readyServer
+	weighted   bool            // whether any locality has had a weight
+	configured map[string]bool // zones that Config.Costs names; computed on first use
 }
 
-// knownServer is what a Selector keeps of a ready server.
-type knownServer struct {
+// readyServer is the data that a Selector stores for a ready server.
+type readyServer struct {
 	locality  Locality
 	size      float64
 	startedAt time.Duration
 }
 
-// NewSelector returns a Selector that knows no servers. Equal seeds and events give equal decisions.
+// NewSelector returns a Selector without servers. Equal seeds and events give equal decisions.
 func NewSelector(config Config, seed uint64) *Selector {
 	config.Nodes = max(1, config.Nodes)
 	if config.InitialLimit == 0 {
@@ -49,10 +49,10 @@
 	}
 	return &Selector{
 		config:  config,
-		random:  rand.New(rand.NewPCG(seed, selectorStream)),
+		random:  rand.New(rand.NewPCG(seed, randomStream)),
 		states:  map[Locality]*localityState{},
 		orders:  map[string][]Locality{},
-		servers: map[string]knownServer{},
+		servers: map[string]readyServer{},
 	}
 }
 
@@ -61,12 +61,13 @@
 	ID             string
 	Locality       Locality
 	Size           float64       // relative to other servers; 0 counts as 1
-	StartedAt      time.Duration // of its latest start; 0 if that is long ago
+	StartedAt      time.Duration // time of its latest start; 0 if it needs no slow start
 	Ready          bool
-	LocalityWeight float64 // of its zone among those of its priority, by the control plane; 0 if it sent none
+	LocalityWeight float64 // weight of its locality within its priority, from the control plane; 0 if unset
 }
 
-// UpdateServers applies an update of the endpoint list: all servers if it is full, else those that changed.
+// UpdateServers applies an update of the endpoint list: all servers if full is set, else only
+// those that changed.
 func (s *Selector) UpdateServers(now time.Duration, full bool, servers []Server) {
 	s.Advance(now)
 	changed := map[*localityState]bool{}
@@ -87,7 +88,7 @@
 	s.updateLocalities()
 }
 
-// removeServer removes a server, and notes that the capacity of its locality has changed.
+// removeServer removes a server and marks its locality as changed.
 func (s *Selector) removeServer(id string, changed map[*localityState]bool) {
 	server, known := s.servers[id]
 	if !known {
@@ -99,7 +100,7 @@
 	changed[state] = true
 }
 
-// addServer adds a ready server, and notes that the capacity of its locality has changed.
+// addServer adds a ready server and marks its locality as changed.
 func (s *Selector) addServer(server Server, changed map[*localityState]bool) {
 	state := s.stateOf(server.Locality)
 	state.servers[server.ID] = struct{}{}
@@ -111,12 +112,12 @@
 	if server.Size == 0 {
 		size = 1
 	}
-	s.servers[server.ID] = knownServer{locality: state.locality, size: size, startedAt: server.StartedAt}
+	s.servers[server.ID] = readyServer{locality: state.locality, size: size, startedAt: server.StartedAt}
 	changed[state] = true
 }
 
-// updateLocalities lists the localities that have servers. What was learned of one without servers is kept for its return,
-// as long as there are few.
+// updateLocalities rebuilds the list of localities that have servers. The state of a locality without servers is kept in
+// case its servers return, and dropped if there are too many states.
 func (s *Selector) updateLocalities() {
 	s.localities = s.localities[:0]
 	for locality, state := range s.states {
@@ -130,7 +131,8 @@
 	clear(s.orders)
 }
 
-// stateOf finds or makes the state of a locality. Beyond MaxZones it is that of servers without a zone.
+// stateOf returns the state of a locality, and creates it if needed. Once there are MaxZones states, further localities
+// share the state of servers without a zone.
 func (s *Selector) stateOf(locality Locality) *localityState {
 	if state := s.states[locality]; state != nil {
 		return state
@@ -146,13 +148,13 @@
 	}
 	state.callsPerUnit = s.config.InitialLimit / float64(s.config.Nodes)
 	if !state.home {
-		state.callsPerUnit *= awayInitialShare
+		state.callsPerUnit *= remoteInitialShare
 	}
 	s.states[locality] = state
 	return state
 }
 
-// updateCapacity adds up the capacity of a locality's servers, as far as their slow start lets it be used now.
+// updateCapacity recomputes the capacity of a locality: the sum of its servers' sizes, reduced during their slow start.
 func (s *Selector) updateCapacity(state *localityState) {
 	state.capacity = 0
 	for id := range state.servers {
@@ -161,8 +163,8 @@
 	}
 }
 
-// slowStartFactor is the share of its capacity that a server has now: it rises linearly over the slow start window.
-func (s *Selector) slowStartFactor(server knownServer) float64 {
+// slowStartFactor returns the share of its capacity that a server has now. It rises linearly over the slow start window.
+func (s *Selector) slowStartFactor(server readyServer) float64 {
 	age := s.now - server.startedAt
 	if s.config.SlowStartShare <= 0 || server.startedAt <= 0 || age >= s.config.SlowStartWindow {
 		return 1
@@ -170,8 +172,8 @@
 	return s.config.SlowStartShare + (1-s.config.SlowStartShare)*max(0, float64(age)/float64(s.config.SlowStartWindow))
 }
 
-// Advance lets time pass. However much has passed, limits are adjusted by one step at most, since nothing was observed in
-// between.
+// Advance sets the current time and adjusts the limits if a step is due. It makes at most one step, however much time has
+// passed, since nothing was observed in between.
 func (s *Selector) Advance(now time.Duration) {
 	s.now = max(s.now, now)
 	if s.now < s.nextStep {
@@ -186,8 +188,8 @@
 	}
 }
 
-// AttemptStarted records that an attempt was sent to a locality. One that has lost its last server in the meantime learns
-// nothing.
+// AttemptStarted records that an attempt was sent to a locality. It is ignored if the
+// locality has no state any more.
 func (s *Selector) AttemptStarted(now time.Duration, locality Locality) {
 	s.Advance(now)
 	state := s.states[locality]
@@ -195,11 +197,11 @@
 		return
 	}
 	state.inFlight++
-	state.window.started++
+	state.window.startedInStep++
 	state.window.peak = max(state.window.peak, state.inFlight)
 }
 
-// AttemptEnded records the end of an attempt that AttemptStarted was told of.
+// AttemptEnded records the end of an attempt that was passed to AttemptStarted.
 func (s *Selector) AttemptEnded(now time.Duration, locality Locality, class string, ending balancer.Ending, took time.Duration) {
 	s.Advance(now)
 	state := s.states[locality]
@@ -215,7 +217,7 @@
 		state.window.rejected++
 	case balancer.TimedOut, balancer.Broken, balancer.Unreachable, balancer.Failure:
 		state.window.failed++
-	case balancer.Canceled, balancer.NeverSent: // they say nothing of the locality
+	case balancer.Canceled, balancer.NeverSent: // no evidence about the locality
 	}
 }
 
@@ -238,7 +240,7 @@
 	Unhealthy bool
 }
 
-// Localities are the localities that have servers, by priority and zone.
+// Localities returns the status of the localities that have servers, sorted by priority and zone.
 func (s *Selector) Localities() []LocalityStatus {
 	var statuses []LocalityStatus
 	for _, locality := range s.localities {
@@ -256,7 +258,8 @@
 	return statuses
 }
 
-// KnowsZone reports whether a zone is the home zone, is configured, or has servers. Other zones that clients name are made up.
+// KnowsZone reports whether a zone is the home zone, is configured, or has servers. A zone
+// name from a client that matches none of these is not trusted.
 func (s *Selector) KnowsZone(zone string) bool {
 	if zone == "" || zone == s.config.Home {
 		return zone != ""
--- a/internal/zone/selector_property_test.go
+++ b/internal/zone/selector_property_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/balancer"
 )
 
-// selectorMachine drives a Selector with random events, and counts calls beside it.
+// selectorMachine drives a Selector with random events, and independently counts calls.
 type selectorMachine struct {
 	selector *Selector
 	zones    *rapid.Generator[string]
@@ -20,8 +20,8 @@
 	counts   map[Locality]int
 }
 
-// Whatever happens, calls are counted, limits change no faster than stated, and what is chosen has servers and is not beyond its
-// limit while a better locality has room.
+// For any sequence of events: calls are counted correctly, limits change no faster than documented, and a chosen locality has
+// servers and is not beyond its limit while a better locality has room.
 func TestSelectorProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &selectorMachine{
--- a/internal/zone/selector_test.go
+++ b/internal/zone/selector_test.go
@@ -16,7 +16,7 @@
 
 func mayNeverCross(string) bool { return false }
 
-// readyServers are n ready servers of a zone.
+// readyServers returns n ready servers of a zone.
 func readyServers(zone string, n int) []Server {
 	var servers []Server
 	for i := range n {
@@ -25,7 +25,7 @@
 	return servers
 }
 
-// firstZone is the zone that a request is sent to first; "-" if it may go nowhere.
+// firstZone returns the zone for the first attempt of a request, or "-" if no zone is permitted.
 func firstZone(s *Selector, now time.Duration, from string) string {
 	if localities := s.Choose(now, from, "", mayAlwaysCross); len(localities) > 0 {
 		return localities[0].Zone
@@ -51,7 +51,7 @@
 	}
 }
 
-// Zones would displace each other's load in a ring if the excess went to zones that are no faster.
+// If excess load went to zones that are no faster, zones would displace each other's load in a ring.
 func TestEqualLatencyIsNotBetter(t *testing.T) {
 	s := NewSelector(Config{Home: "a", InitialLimit: 1}, 1)
 	s.UpdateServers(0, true, append(readyServers("a", 1), readyServers("b", 9)...))
@@ -68,9 +68,9 @@
 	}
 }
 
-// A zone whose servers refuse at once gets a few trial calls in each step and nothing else. When it recovers it gets its load back
+// A zone whose servers refuse connections receives only a few probe calls in each step. After its recovery its load returns
 // within seconds.
-func TestUnhealthyZoneIsTriedAndRecovers(t *testing.T) {
+func TestUnhealthyZoneIsProbedAndRecovers(t *testing.T) {
 	s := NewSelector(Config{Home: "a"}, 1)
 	s.UpdateServers(0, true, append(readyServers("a", 10), readyServers("b", 10)...))
 	tried := 0
@@ -107,7 +107,7 @@
 	}
 }
 
-// After a deployment of a whole zone some of its load goes elsewhere, and comes back as its servers warm up.
+// After all servers of a zone restart, its limit is reduced and rises over the slow start, so that load returns gradually.
 func TestLimitRisesWithSlowStart(t *testing.T) {
 	s := NewSelector(Config{Home: "a", SlowStartShare: 0.25, SlowStartWindow: 10 * time.Second, InitialLimit: 4}, 1)
 	servers := append(readyServers("a", 4), readyServers("b", 4)...)
@@ -125,9 +125,9 @@
 	}
 }
 
-// Two zones have failed into a third that has the capacity for one of them. It is kept at what it can take, and the rest is the
-// decision module's to reject.
-func TestLimitProtectsTheLastZone(t *testing.T) {
+// Two zones have failed, and the third has the capacity for one of them only. The limit keeps the third zone within its
+// capacity; the decision module has to reject the rest.
+func TestLimitProtectsTheOnlyRemainingZone(t *testing.T) {
 	s := NewSelector(Config{Home: "a"}, 1)
 	s.UpdateServers(0, true, readyServers("c", 10))
 	last := Locality{Zone: "c"}
@@ -141,9 +141,9 @@
 			ends = ends[1:]
 		}
 		if localities := s.Choose(now, "a", "", mayAlwaysCross); len(localities) == 0 {
-			t.Fatal("nowhere to go though a zone has servers")
+			t.Fatal("no locality is chosen though a zone has servers")
 		}
-		if state := s.states[last]; state.hasRoom() { // what the decision module would admit
+		if state := s.states[last]; state.hasRoom() { // the decision module would admit the call
 			s.AttemptStarted(now, last)
 			ends = append(ends, now+time.Duration(len(ends)+1)*time.Duration(random.Float64()*float64(10*ms)))
 			if now > 10*time.Second {
@@ -152,7 +152,7 @@
 		}
 	}
 	if peak > 60 {
-		t.Errorf("a zone that is crowded at 30 calls has %d", peak)
+		t.Errorf("a zone that is congested at 30 calls has %d in flight", peak)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-// An empty result is not nil: to the decision module nil localities mean that zones are not told apart.
+// The empty result must not be nil: nil tells the decision module that zones are not in use.
 func TestChooseIsEmptyWithoutServersOrBudget(t *testing.T) {
 	s := NewSelector(Config{Home: "a"}, 1)
 	if localities := s.Choose(0, "a", "", mayAlwaysCross); localities == nil || len(localities) != 0 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// A server that the list moves to another zone counts there from then on. Calls in flight at it end where they began.
+// A server that moves to another zone counts there from then on. Its calls in flight still end in the former zone.
 func TestServerMovesToAnotherZone(t *testing.T) {
 	s := NewSelector(Config{Home: "a"}, 1)
 	s.UpdateServers(0, true, readyServers("a", 1))
@@ -209,9 +209,9 @@
 	}
 	s.UpdateServers(0, true, servers)
 	if n := len(s.states); n > MaxZones+1 {
-		t.Errorf("%d zones are told apart", n)
+		t.Errorf("%d localities are tracked, want at most MaxZones+1", n)
 	}
 	if s.KnowsZone("made up") || !s.KnowsZone("z1") {
-		t.Error("knows a zone that is made up, or not one that has servers")
+		t.Error("KnowsZone accepts a zone that does not exist, or rejects one that has servers")
 	}
 }
