--- a/internal/zone/store/store.go
+++ b/internal/zone/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps a node's account and budgets of zones on disk, over crashes and restarts.
+// Package store persists a node's account and budgets of zone traffic across crashes and restarts.
 //
-// It owns one bbolt file. Each Save is one transaction, so the file always holds a state that was saved as a whole. Two
-// buckets hold JSON: "account" maps a zone.Key to its zone.Traffic, "budgets" a zone.Pair to its zone.Usage. The names of
+// It uses one bbolt file. Each Save is one transaction, so the file never contains a partially saved state. Two buckets
+// contain JSON: "account" maps a zone.Key to its zone.Traffic, "budgets" a zone.Pair to its zone.Usage. The names of
 // their fields are therefore stored data, and must not change.
 package store
 
@@ -28,7 +28,8 @@
 	budgetsBucket = []byte("budgets")
 )
 
-// Modes of what Open creates. The account names customers, so only the node's user may read the file.
+// Modes of the file and folder that Open creates. The account contains customer names, so only the node's user may read
+// the file.
 const (
 	fileMode   = 0o600
 	folderMode = 0o755
@@ -37,11 +38,11 @@
 // lockTimeout is how long Open waits for a file that another process has open.
 const lockTimeout = time.Second
 
-// ErrLocked says that another process has the file open. Two processes must not share one budget: the caller gives up, or tries
-// again when the other has ended.
+// ErrLocked reports that another process has the file open. Two processes must not share one budget: the caller gives up, or
+// retries after the other process has exited.
 var ErrLocked = errors.New("another process has the file open")
 
-// Errors of ReadRow and ReadUsage for entries that are no valid state.
+// Errors of ReadRow and ReadUsage for invalid entries.
 var (
 	ErrOutOfRange  = errors.New("a figure is out of range")
 	ErrNameTooLong = errors.New("a name is too long")
@@ -76,7 +77,8 @@
 	return nil
 }
 
-// Load reads everything. Entries that can't be read are left out and counted: a node with half an account is better than none.
+// Load reads the whole state. Entries that can't be decoded are skipped and counted in unreadable, since a node with an
+// incomplete account is better than one that does not start.
 func (s *Store) Load() (state zone.State, unreadable int, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		rows := tx.Bucket(accountBucket).ForEach(func(key, value []byte) error {
@@ -103,8 +105,8 @@
 	return state, unreadable, nil
 }
 
-// Save replaces the rows and usages that the state has, keeps the others, and deletes the rows of days before oldestDay.
-// After an error nothing of it is stored.
+// Save writes the rows and usages of the state over the stored ones with the same keys, keeps all others, and deletes rows
+// of days before oldestDay. If it fails, the file is unchanged.
 func (s *Store) Save(state zone.State, oldestDay int64) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		account := tx.Bucket(accountBucket)
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// deleteBefore deletes rows up to the first one of the day or a later one. Keys begin with the day, so old rows come first.
+// deleteBefore deletes rows up to the first one of oldestDay or later. Keys begin with the day, so old rows come first.
 // Unreadable rows among them are deleted as well.
 func deleteBefore(account *bolt.Bucket, oldestDay int64) error {
 	cursor := account.Cursor()
--- a/internal/zone/store/store_test.go
+++ b/internal/zone/store/store_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-// loadAfterCrash loads what another process finds in the file as it is now.
+// loadAfterCrash loads the state from a copy of the file, as a process would after a crash at this moment.
 func loadAfterCrash(t *testing.T, path string) zone.State {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -71,11 +71,11 @@
 	path := filepath.Join(t.TempDir(), "zones.db")
 	openStore(t, path)
 	if _, err := Open(path); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a second opening: %v", err)
+		t.Errorf("opening the file twice: %v, want ErrLocked", err)
 	}
 }
 
-func TestUnreadableEntriesAreLeftOutAndOldDaysDropped(t *testing.T) {
+func TestUnreadableEntriesAreSkippedAndOldDaysDeleted(t *testing.T) {
 	s := openStore(t, filepath.Join(t.TempDir(), "zones.db"))
 	rows := []zone.Row{{Key: zone.Key{Day: 5, Pool: "old"}}, {Key: zone.Key{Day: 90, Pool: "new"}, Traffic: zone.Traffic{Requests: 3}}}
 	if err := s.Save(zone.State{Rows: rows}, 0); err != nil {
@@ -93,23 +93,23 @@
 		t.Fatal(err)
 	}
 	if state, _, _ := s.Load(); len(state.Rows) != 1 || state.Rows[0].Pool != "new" {
-		t.Errorf("after old days were dropped: %+v", state.Rows)
+		t.Errorf("rows after old days were deleted: %+v", state.Rows)
 	}
 }
 
-func TestFileThatIsNoStoreIsAnError(t *testing.T) {
+func TestOpenRejectsFileOfAnotherFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.db")
 	if err := os.WriteFile(path, bytes.Repeat([]byte("no store "), 1000), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := Open(path); err == nil {
 		s.Close()
-		t.Error("a file that is no store was opened")
+		t.Error("Open accepted a file of another format")
 	}
 }
 
-// A file of an earlier build must be readable, and one of this build by an earlier one, so the names in it must not change.
-func TestNamesOfStoredDataStay(t *testing.T) {
+// Files must be readable by earlier and later builds, so the names in them must not change.
+func TestStoredFormatIsUnchanged(t *testing.T) {
 	const (
 		rowKey     = `{"Day":20000,"Pair":{"From":"a","To":"b"},"Pool":"p","Class":"read","Customer":"acme"}`
 		rowValue   = `{"Requests":1,"Out":2,"In":3}`
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestEntriesOutOfRangeAreRefused(t *testing.T) {
+func TestInvalidEntriesAreRejected(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes+1)
 	for _, c := range []struct {
 		name, key, value string
@@ -161,7 +161,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ReadRow([]byte(c.key), []byte(c.value)); !errors.Is(err, c.want) {
-				t.Errorf("%v, not %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
