--- a/internal/zone/page/page.go
+++ b/internal/zone/page/page.go
@@ -1,5 +1,5 @@
-// Package page writes a report of zones as an HTML page. It is a package of its own so that programs without that page do
-// not link html/template. Names in a report come from clients, and the template escapes them.
+// Package page writes a zone report as an HTML page. It is separate from package report so that programs without the page
+// don't link html/template. Names in a report may come from clients; the template escapes them.
 package page
 
 import (
@@ -17,7 +17,7 @@
 	`td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:right}` +
 	`tr.cross{background:#fff3d6}`
 
-// localityRow is the row of a locality of the pool $pool.
+// localityRow is the table row of a locality in the pool $pool.
 const localityRow = `<tr>` +
 	`<td>{{$pool}}` +
 	`<td>{{zone .Zone}}` +
@@ -27,7 +27,7 @@
 	`<td>{{.InFlight}}` +
 	`<td>{{if .Unhealthy}}sick{{end}}</tr>`
 
-// budgetRow is the row of a budget.
+// budgetRow is the table row of a budget.
 const budgetRow = `<tr>` +
 	`<td>{{zone .From}}` +
 	`<td>{{zone .To}}` +
@@ -36,7 +36,7 @@
 	`<td>{{remaining .BytesHour}}` +
 	`<td>{{remaining .BytesDay}}</tr>`
 
-// accountRow is a row of the account. Traffic that crossed zones is marked.
+// accountRow is the table row of a row of the account. Traffic between zones is highlighted.
 const accountRow = `<tr{{if ne .From .To}} class="cross"{{end}}>` +
 	`<td>{{.Day}}` +
 	`<td>{{.Pool}}` +
@@ -69,5 +69,5 @@
 {{end}}</table></html>
 `))
 
-// Write writes a report as a page that refers to no other resources.
+// Write writes a report as a self-contained HTML page.
 func Write(w io.Writer, r report.Report) error { return page.Execute(w, r) }
--- a/internal/zone/page/page_test.go
+++ b/internal/zone/page/page_test.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/zone/report"
 )
 
-// Names of customers come from clients, so they must not be able to put markup into the page.
+// Customer names come from clients, so the page must escape them.
 func TestPageShowsReportAndEscapesNames(t *testing.T) {
 	var text bytes.Buffer
 	err := Write(&text, report.Report{
--- a/internal/zone/report/report.go
+++ b/internal/zone/report/report.go
@@ -1,7 +1,7 @@
-// Package report presents what a node knows of zones: the state of localities, what remains of budgets, and the account. It
-// writes a report as a table for a terminal and as JSON, and reads the JSON back; package page writes it as HTML. The
-// package is pure: it must never read a clock or do I/O but through the writer that it is given. The names in the JSON are
-// part of the interface to users and to tools.
+// Package report formats a node's zone status: the state of localities, the remaining budgets, and the account. It writes a
+// report as tables for a terminal or as JSON, and parses that JSON; package page writes it as HTML. The package must never
+// read a clock, or do I/O except through the writer that it is given. The names in the JSON are part of the interface to
+// users and tools.
 package report
 
 import (
@@ -17,7 +17,7 @@
 	"cranegrade/internal/zone"
 )
 
-// Report is what a node knows of zones at a moment.
+// Report is a snapshot of a node's zone status.
 type Report struct {
 	Node       string                `json:"node"`
 	Home       string                `json:"home"`
@@ -27,7 +27,7 @@
 	Rows       []Row                 `json:"account"`
 }
 
-// Locality is the state of a locality as the pool of a node sees it.
+// Locality is the state of a locality as seen by one pool of a node.
 type Locality struct {
 	Zone      string  `json:"zone"`
 	Priority  int     `json:"priority"`
@@ -61,7 +61,7 @@
 	In       int64  `json:"bytes_in"`
 }
 
-// Localities presents the localities of a pool.
+// Localities converts the localities of a pool for a report.
 func Localities(statuses []zone.LocalityStatus) []Locality {
 	var localities []Locality
 	for _, status := range statuses {
@@ -78,7 +78,7 @@
 	return localities
 }
 
-// Budgets presents what pairs may still send, ordered by zones.
+// Budgets converts the remaining budgets for a report, ordered by zones.
 func Budgets(remaining map[zone.Pair]zone.Remaining) []Budget {
 	var budgets []Budget
 	for pair, r := range remaining {
@@ -100,10 +100,10 @@
 	slices.SortFunc(budgets, func(a, b Budget) int { return strings.Compare(a.From+"\x00"+a.To, b.From+"\x00"+b.To) })
 }
 
-// GroupBy says which columns rows are told apart by, beside day and pair of zones.
+// GroupBy selects the columns by which rows are grouped, in addition to day and pair of zones.
 type GroupBy struct{ Pool, Class, Customer bool }
 
-// key returns a key without the columns that rows are not told apart by.
+// key returns a key with the columns that are not grouped by cleared.
 func (g GroupBy) key(key zone.Key) zone.Key {
 	if !g.Pool {
 		key.Pool = ""
@@ -117,15 +117,15 @@
 	return key
 }
 
-// Rows presents the rows of an account of one day, as time.DateOnly, or of all days if it is "". Rows that groupBy does not
-// tell apart are added up.
+// Rows converts the rows of an account for a report: those of one day, formatted as time.DateOnly, or of all days if day is
+// "". Rows of the same group are added up.
 func Rows(rows []zone.Row, day string, groupBy GroupBy) []Row {
 	if day != "" {
 		rows = slices.DeleteFunc(slices.Clone(rows), func(r zone.Row) bool { return formatDay(r.Day) != day })
 	}
-	var presented []Row
+	var result []Row
 	for _, r := range zone.Aggregate(rows, groupBy.key) {
-		presented = append(presented, Row{
+		result = append(result, Row{
 			Day:      formatDay(r.Day),
 			Pool:     r.Pool,
 			From:     r.Pair.From,
@@ -137,13 +137,13 @@
 			In:       r.In,
 		})
 	}
-	return presented
+	return result
 }
 
-// secondsPerDay is the length of a day of an account, which is one of Unix time.
+// secondsPerDay is the length of a day of the account. Unix time has no leap seconds.
 const secondsPerDay = 24 * 60 * 60
 
-// formatDay returns a day, counted from 1970, as time.DateOnly.
+// formatDay formats a day, in days since 1970-01-01 UTC, as time.DateOnly.
 func formatDay(day int64) string { return time.Unix(day*secondsPerDay, 0).UTC().Format(time.DateOnly) }
 
 // WriteJSON writes the report as JSON.
@@ -153,7 +153,7 @@
 	return encoder.Encode(r)
 }
 
-// Parse reads a report from the JSON of WriteJSON.
+// Parse decodes a report from the output of WriteJSON.
 func Parse(text []byte) (Report, error) {
 	var r Report
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -162,8 +162,8 @@
 	return r, nil
 }
 
-// Merge makes one report of those of several nodes: budgets and rows are added up, pools are called NODE/POOL, and the time
-// is the earliest one. The report of a single node stays as it is.
+// Merge combines the reports of several nodes into one: budgets are added up, rows are concatenated, pools are named
+// NODE/POOL, and the time is the earliest one. A single report is returned unchanged.
 func Merge(reports []Report) Report {
 	if len(reports) == 1 {
 		return reports[0]
@@ -198,7 +198,7 @@
 	return merged
 }
 
-// addBudgets adds up what two nodes may still send for one pair.
+// addBudgets adds up the remaining budgets of two nodes for one pair.
 func addBudgets(a, b Budget) Budget {
 	return Budget{
 		From:         a.From,
@@ -210,7 +210,7 @@
 	}
 }
 
-// addRemaining adds what remains at two nodes. Where one of them has no limit there is none in total.
+// addRemaining adds the remaining amounts of two nodes. The sum is unlimited if either of them is.
 func addRemaining(a, b int64) int64 {
 	if a < 0 || b < 0 {
 		return zone.Unlimited
@@ -218,8 +218,8 @@
 	return a + b
 }
 
-// CrossZoneShare is the share of requests that crossed zones, among those whose zones are both known. It is 0 if there
-// are none.
+// CrossZoneShare returns the share of requests that crossed zones, among those whose zones are both known. It returns 0 if
+// there are none.
 func (r Report) CrossZoneShare() float64 {
 	var all, crossed int64
 	for _, row := range r.Rows {
@@ -237,7 +237,7 @@
 	return float64(crossed) / float64(all)
 }
 
-// FormatRemaining writes what remains of a limit, with a dash where there is none.
+// FormatRemaining formats a remaining amount, or a dash if there is no limit.
 func FormatRemaining(n int64) string {
 	if n < 0 {
 		return "-"
--- a/internal/zone/report/report_test.go
+++ b/internal/zone/report/report_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestJSONIsReadBack(t *testing.T) {
+func TestParseReadsWrittenJSON(t *testing.T) {
 	var text bytes.Buffer
 	r := sampleReport()
 	if err := r.WriteJSON(&text); err != nil {
@@ -52,12 +52,12 @@
 	}
 	parsed, err := Parse(text.Bytes())
 	if err != nil || !reflect.DeepEqual(parsed, r) {
-		t.Errorf("read back %+v, %v", parsed, err)
+		t.Errorf("parsed %+v, %v", parsed, err)
 	}
 }
 
 // Users and tools read the JSON, so its names must not change.
-func TestNamesInJSONStay(t *testing.T) {
+func TestNamesInJSONAreUnchanged(t *testing.T) {
 	var text bytes.Buffer
 	if err := sampleReport().WriteJSON(&text); err != nil {
 		t.Fatal(err)
@@ -81,13 +81,13 @@
 		sampleRow(2, zone.Pair{}, "y", "", zone.Traffic{Requests: 4, Out: 4, In: 4}),
 	}
 	if got := Rows(rows, "1970-01-02", GroupBy{}); len(got) != 1 || got[0].Requests != 3 || got[0].Class != "" {
-		t.Errorf("of one day, not told apart: %+v", got)
+		t.Errorf("one day, not grouped by a column: %+v", got)
 	}
 	if got := Rows(rows, "", GroupBy{Class: true}); len(got) != 3 {
-		t.Errorf("of all days by class: %+v", got)
+		t.Errorf("all days, grouped by class: %+v", got)
 	}
 	if got := Rows(rows, "1999-01-01", GroupBy{}); len(got) != 0 {
-		t.Errorf("of a day without traffic: %+v", got)
+		t.Errorf("a day without traffic: %+v", got)
 	}
 }
 
@@ -102,13 +102,13 @@
 		if r, err := Parse(text); err == nil {
 			var table bytes.Buffer
 			if r.WriteTable(&table) != nil {
-				t.Fatal("a report that was read can't be written")
+				t.Fatal("WriteTable failed on a parsed report")
 			}
 		}
 	})
 }
 
-// The figures of several nodes together are the sums of each one's. A pair that has no limit at one node has none in total.
+// Remaining budgets of several nodes are added up. A pair without a limit at one node is unlimited in the sum.
 func TestMergeAddsUpNodes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := Report{
@@ -128,6 +128,6 @@
 		t.Errorf("%+v", merged.Budgets)
 	}
 	if one := Merge([]Report{a}); one.Localities["p"] == nil {
-		t.Errorf("of one node: %+v", one)
+		t.Errorf("a single report is changed: %+v", one)
 	}
 }
--- a/internal/zone/report/table.go
+++ b/internal/zone/report/table.go
@@ -20,7 +20,7 @@
 	return table.Flush()
 }
 
-// writeLocalities writes a row for each locality of each pool.
+// writeLocalities writes one line for each locality of each pool.
 func (r Report) writeLocalities(w io.Writer) {
 	if len(r.Localities) == 0 {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// writeBudgets writes a row for each budget.
+// writeBudgets writes one line for each budget.
 func (r Report) writeBudgets(w io.Writer) {
 	if len(r.Budgets) == 0 {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// writeRows writes a row for each line of the account.
+// writeRows writes one line for each row of the account.
 func (r Report) writeRows(w io.Writer) {
 	fmt.Fprint(w, "\nday\tpool\tfrom\tto\tclass\tcustomer\trequests\tbytes out\tbytes in\t\n")
 	for _, row := range r.Rows {
