--- a/internal/zone/model/model.go
+++ b/internal/zone/model/model.go
@@ -1,9 +1,9 @@
-// Package model is a discrete-event simulation of zones of servers. It measures where policies send the load of a zone that
-// fails, slows down or recovers, and at what cost for the other zones.
+// Package model is a discrete-event simulation of servers in several zones. It measures where routing policies send the load
+// of a zone that fails, slows down or recovers, and how that affects the other zones.
 //
-// It belongs to the test rig and is pure: it must never read a clock, start a goroutine or do I/O, and equal seeds give
-// equal results. It knows nothing of the decision module: servers are queues, and a node picks the less loaded of two
-// random servers of the zone that its policy names.
+// It is used for tests only, and is deterministic: it must never read a clock, start a goroutine or do I/O, and equal seeds
+// give equal results. It does not use the decision module: servers are queues, and a node picks the less loaded of two
+// random servers in the zone that its policy chooses.
 package model
 
 import (
@@ -14,27 +14,27 @@
 	"cranegrade/internal/eventqueue"
 )
 
-// Policy decides for the node of one zone which zone a request goes to. Zones are numbered from 0.
+// Policy chooses the zone of each request at the node of one zone. Zones are numbered from 0.
 type Policy interface {
 	Choose(now time.Duration) int
 	AttemptStarted(now time.Duration, zone int)
 	AttemptEnded(now time.Duration, zone int, ending balancer.Ending, took time.Duration)
-	// UpdateHealth tells how many servers of each zone are listed as healthy, of serversPerZone.
+	// UpdateHealth reports how many of the serversPerZone servers in each zone are listed as healthy.
 	UpdateHealth(now time.Duration, healthy []int, serversPerZone int)
 }
 
-// Fault is what happens to the first zone.
+// Fault is the kind of fault of the first zone.
 type Fault int
 
-// The faults.
+// The kinds of faults.
 const (
-	Outage        Fault = iota // all servers refuse
-	Brownout                   // all servers take brownoutFactor times as long, and are listed as healthy
-	PartialOutage              // a third of the servers refuse
-	GradualReturn              // all servers refuse, and come back a tenth at a time
+	Outage        Fault = iota // all servers refuse connections
+	Brownout                   // all servers are slower by brownoutFactor, but listed as healthy
+	PartialOutage              // one in outageDivisor servers refuses connections
+	GradualReturn              // all servers refuse connections, and recover in returnSteps steps
 )
 
-// String names a fault.
+// String returns the name of the fault.
 func (f Fault) String() string {
 	switch f {
 	case Outage:
@@ -56,18 +56,18 @@
 	MeanServiceTime  time.Duration // of a request; exponentially distributed
 	Load             float64       // offered in each zone, as a share of its capacity
 	CrossZoneLatency time.Duration // of the round trip to another zone
-	QueueLimit       int           // requests at a server; further ones are rejected
+	QueueLimit       int           // maximum number of requests at a server; further ones are rejected
 	LatencyTarget    time.Duration
 	Timeout          time.Duration // of a request
 	Duration         time.Duration // until the last arrival
 	FaultStart       time.Duration
-	FaultEnd         time.Duration // for GradualReturn the time when servers begin to come back
-	DetectionDelay   time.Duration // until the list shows that a server has failed or is back
+	FaultEnd         time.Duration // for GradualReturn, when servers begin to recover
+	DetectionDelay   time.Duration // until the server list shows a failure or recovery
 	Fault            Fault
 	Seed             uint64
 }
 
-// DefaultConfig is a simulation of 40 seconds, of which the fault lasts 15.
+// DefaultConfig returns a simulation of 40 seconds with a fault of 15 seconds.
 func DefaultConfig(zones int, fault Fault, seed uint64) Config {
 	return Config{
 		Zones:            zones,
@@ -91,16 +91,16 @@
 	localLatency   = 200 * time.Microsecond // of the round trip within a zone
 	maxRetries     = 2                      // of a request
 	brownoutFactor = 3
-	outageDivisor  = 3  // PartialOutage has one of so many servers refuse
-	returnSteps    = 10 // of GradualReturn, one a second
+	outageDivisor  = 3  // one in this many servers fails in a PartialOutage
+	returnSteps    = 10 // of GradualReturn, one per second
 
-	simulationStream = 0x20de // keeps the draws apart from those of others that have the same seed
+	randomStream = 0x20de // second half of the seed; keeps the generator independent of others with the same first half
 )
 
 // server is a server with a queue.
 type server struct {
 	up, listed bool
-	busyUntil  time.Duration // when it has worked off its queue
+	busyUntil  time.Duration // when its queue will be empty
 	slowdown   float64       // factor of the service time
 	queued     int
 }
@@ -117,11 +117,11 @@
 	counts   counts
 }
 
-// Run runs a simulation in which each zone has one node with a policy of its own.
+// Run runs a simulation in which each zone has one node with its own policy.
 func Run(config Config, newPolicy func(home int) Policy) Result {
 	s := &simulation{
 		config: config,
-		random: rand.New(rand.NewPCG(config.Seed, simulationStream)),
+		random: rand.New(rand.NewPCG(config.Seed, randomStream)),
 		counts: newCounts(config.Duration),
 	}
 	for range config.Zones {
@@ -151,7 +151,7 @@
 	return s.counts.result()
 }
 
-// publishHealth tells the policies how many servers of each zone are listed as healthy.
+// publishHealth passes the number of servers listed as healthy in each zone to the policies.
 func (s *simulation) publishHealth() {
 	healthy := make([]int, len(s.zones))
 	for zone, servers := range s.zones {
@@ -192,7 +192,7 @@
 	}
 }
 
-// changeServers changes the servers of the first zone at a time. The list shows it after the detection delay.
+// changeServers schedules a change of the servers of the first zone. The server list shows it after the detection delay.
 func (s *simulation) changeServers(at time.Duration, change func(i int, server *server)) {
 	s.events.Schedule(at, func() {
 		for i, server := range s.zones[0] {
@@ -220,7 +220,7 @@
 	})
 }
 
-// request is a request on its way.
+// request is a request in progress.
 type request struct {
 	home      int
 	arrivedAt time.Duration
@@ -287,8 +287,8 @@
 	s.counts.answer(s.config, r, s.now-r.arrivedAt, served)
 }
 
-// pickServer picks the one with fewer calls of the node among two random listed servers of a zone. It
-// returns nil if none is listed.
+// pickServer picks two random listed servers of a zone and returns the one with fewer calls from the node in zone home. It
+// returns nil if no server is listed.
 func (s *simulation) pickServer(home, zone int) (*server, int) {
 	var listed []int
 	for i, server := range s.zones[zone] {
--- a/internal/zone/model/model_test.go
+++ b/internal/zone/model/model_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// The adaptive policy against spill-over by the count of healthy hosts, for each fault and 3 to 12 zones. Where the count shows the
-// fault, measuring is no worse; where it does not (brownout), measuring is better; and the load that moves does not push the
-// other zones over.
-func TestAdaptivePolicyAgainstCountOfHealthyHosts(t *testing.T) {
+// Compares the adaptive policy with spill-over by the number of healthy hosts, for each fault and 3 to 12 zones. The adaptive
+// policy must be no worse, and better for a brownout, which the number of healthy hosts doesn't show. The load that it moves
+// must not overload the other zones.
+func TestAdaptivePolicyIsNoWorseThanHealthyHostCount(t *testing.T) {
 	zones := []int{3, 5, 8, 12}
 	if testing.Short() {
 		zones = zones[:2]
@@ -42,7 +42,7 @@
 		t.Errorf("only %.4f of the other zones' own requests are in target", adaptive.NeighborInTarget)
 	}
 	if adaptive.Oscillations > 6 {
-		t.Errorf("the share at home turned %d times", adaptive.Oscillations)
+		t.Errorf("the share of load served at home changed direction %d times, want at most 6", adaptive.Oscillations)
 	}
 }
 
--- a/internal/zone/model/policies.go
+++ b/internal/zone/model/policies.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/zone"
 )
 
-// AdaptivePolicy is the policy of package zone, which measures what each zone can take.
+// AdaptivePolicy routes with a zone.Selector, which adapts a concurrency limit for each zone.
 type AdaptivePolicy struct {
 	selector *zone.Selector
 	home     string
@@ -17,11 +17,11 @@
 	names    []string
 }
 
-// adaptiveLatencyTarget is that of DefaultConfig.
+// adaptiveLatencyTarget equals Config.LatencyTarget in DefaultConfig.
 const adaptiveLatencyTarget = 200 * time.Millisecond
 
-// NewAdaptivePolicy returns the policy of a node whose zone has the number home. Costs are as on a ring, so that each zone has
-// another one that is nearest.
+// NewAdaptivePolicy returns the policy of a node whose zone has the number home. Zones form a ring: costs
+// rise with the distance in one direction, so each zone has a different nearest neighbor.
 func NewAdaptivePolicy(home, zones int, seed uint64) *AdaptivePolicy {
 	p := &AdaptivePolicy{numbers: map[string]int{}}
 	for number := range zones {
@@ -91,7 +91,7 @@
 	return &HealthyHostsPolicy{home: home, random: rand.New(rand.NewPCG(seed, uint64(home)))}
 }
 
-// Choose draws a zone by the shares.
+// Choose implements Policy. It draws a zone at random, weighted by the shares.
 func (p *HealthyHostsPolicy) Choose(time.Duration) int {
 	draw := p.random.Float64()
 	for number, share := range p.shares {
@@ -103,13 +103,13 @@
 	return p.home
 }
 
-// AttemptStarted implements Policy. It changes nothing here.
+// AttemptStarted implements Policy. The policy ignores it.
 func (p *HealthyHostsPolicy) AttemptStarted(time.Duration, int) {}
 
-// AttemptEnded implements Policy. It changes nothing here.
+// AttemptEnded implements Policy. The policy ignores it.
 func (p *HealthyHostsPolicy) AttemptEnded(time.Duration, int, balancer.Ending, time.Duration) {}
 
-// UpdateHealth computes the shares.
+// UpdateHealth implements Policy. It recomputes the shares.
 func (p *HealthyHostsPolicy) UpdateHealth(_ time.Duration, healthy []int, serversPerZone int) {
 	away := zone.HostCount{}
 	for number, count := range healthy {
--- a/internal/zone/model/result.go
+++ b/internal/zone/model/result.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Result is the outcome of a simulation from the beginning of the fault on.
+// Result summarizes a simulation from the start of the fault.
 type Result struct {
 	InTarget         float64       // share of requests answered within the latency target
 	Served           float64       // share of requests answered within the timeout
 	P99              time.Duration // 99th percentile of the latency of answers
 	CrossZoneShare   float64       // share of attempts that crossed zones
-	Oscillations     int           // times that the first zone's share of its own load turned, by oscillationThreshold and more
+	Oscillations     int           // direction changes, of at least oscillationThreshold, of the share of the first zone's load served there
 	NeighborInTarget float64       // InTarget of the other zones' own requests
 }
 
 const (
-	oscillationThreshold   = 0.2
-	minAttemptsPerSecond   = 20 // seconds with fewer attempts are left out of Oscillations
-	secondsAfterLastArrive = 5  // in which requests may still end
+	oscillationThreshold = 0.2
+	minAttemptsPerSecond = 20 // seconds with fewer attempts are left out of Oscillations
+	drainSeconds         = 5  // after the last arrival, in which requests may still end
 )
 
-// counts counts what happens from the beginning of the fault on.
+// counts counts requests and attempts from the start of the fault.
 type counts struct {
 	requests, inTarget, served         int
 	neighborRequests, neighborInTarget int
 	attempts, crossed                  int
 	latencies                          []float64 // of answers, in s
-	firstZoneAttempts, firstZoneAtHome []int     // attempts of the first zone's load, and those that stay there, by second
+	firstZoneAttempts, firstZoneAtHome []int     // attempts from the first zone, and those of them served there, by second
 }
 
-// newCounts returns counts of nothing.
+// newCounts returns zero counts for a simulation of the given duration.
 func newCounts(duration time.Duration) counts {
-	seconds := int(duration/time.Second) + secondsAfterLastArrive
+	seconds := int(duration/time.Second) + drainSeconds
 	return counts{firstZoneAttempts: make([]int, seconds), firstZoneAtHome: make([]int, seconds)}
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// result returns the shares that the counts come to.
+// result computes the Result from the counts.
 func (c *counts) result() Result {
 	return Result{
 		InTarget:         share(c.inTarget, c.requests),
@@ -98,8 +98,8 @@
 	return time.Duration(c.latencies[len(c.latencies)*99/100] * float64(time.Second))
 }
 
-// oscillations counts the turns of the share of the first zone's load that stays there: each change of direction by at
-// least the threshold from the last extreme.
+// oscillations counts the direction changes of the share of the first zone's load that is served there. A change counts if
+// it differs from the last extreme by at least oscillationThreshold.
 func (c *counts) oscillations() int {
 	turns := 0
 	extreme, direction := math.NaN(), 0.0
@@ -124,7 +124,7 @@
 	return turns
 }
 
-// share returns a part of a whole, or 0 if the whole is nothing.
+// share returns part / whole, or 0 if whole is 0.
 func share(part, whole int) float64 {
 	if whole == 0 {
 		return 0
