--- a/internal/zone/selector.go
+++ b/internal/zone/selector.go
@@ -258,8 +258,8 @@
 	return statuses
 }
 
-// KnowsZone reports whether a zone is the home zone, is configured, or has servers. A zone
-// name from a client that matches none of these is not trusted.
+// KnowsZone reports whether a zone is the home zone, is configured, or has servers. A zone name
+// from a client that matches none of these is not trusted.
 func (s *Selector) KnowsZone(zone string) bool {
 	if zone == "" || zone == s.config.Home {
 		return zone != ""
