--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the settings file that the platform gives each process. The file is YAML and is checked by struct tags. The
-// platform's pages define its keys and forms, and the fields here have the same names; unknown keys are ignored. The package owns the
-// defaults; it must never act on a setting. A Settings is not changed after it was read, so any goroutine may use it.
+// Package settings reads the YAML settings file that the platform provides for each process, applies defaults, and validates the result
+// by struct tags. The platform's documentation defines the keys and their types, and the JSON names of the fields match them; unknown keys
+// are ignored. The package only reads settings and never acts on them. A Settings value is read-only once loaded and is then safe for
+// concurrent use.
 package settings
 
 import (
@@ -15,109 +16,109 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// PathVariable is the name of the environment variable with the path of the file.
+// PathVariable is the environment variable that contains the path of the settings file.
 const PathVariable = "CRANEGRADE_NODE_FILE"
 
-// minInternalPorts is the least number of ports in InternalPortRange.
+// minInternalPorts is the minimum number of ports in InternalPortRange.
 const minInternalPorts = 2
 
-// Seconds is a duration in seconds, as the file has it.
+// Seconds is a duration as the settings file writes it: a number of seconds.
 type Seconds float64
 
-// Duration returns the number of seconds as a time.Duration.
+// Duration converts s to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings is the settings of one process.
+// Settings are the settings of one process.
 type Settings struct {
-	NodeName     string   `json:"NodeName" validate:"required,max=256"` // of this process, in logs and status
-	NodeRole     string   `json:"NodeRole"`                             // the role of deploy/system.toml that it runs
-	MachineClass string   `json:"MachineClass"`                         // the class of machines that it runs on
-	ServedRoles  []string `json:"ServedRoles"`                          // what it serves: "sidecar", "control"
+	NodeName     string   `json:"NodeName" validate:"required,max=256"` // name of this process in logs and status reports
+	NodeRole     string   `json:"NodeRole"`                             // role of this process, as named in deploy/system.toml
+	MachineClass string   `json:"MachineClass"`                         // class of the machine on which it runs
+	ServedRoles  []string `json:"ServedRoles"`                          // services that this process provides: "sidecar", "control"
 	IPAddress    string   `json:"IpAddress" validate:"required,ip4_addr"`
 
 	Zone   string            `json:"Zone" validate:"max=256"`
 	Region string            `json:"Region"`
-	Zones  map[string]string `json:"Zones"` // the region of each zone
+	Zones  map[string]string `json:"Zones"` // region by zone
 
 	ListenAddrs ListenAddresses `json:"ListenAddrs"`
 	// InternalPortRange is the first and the last port for connections between processes of the mesh, the same on all machines.
 	InternalPortRange []int `json:"InternalPortRange" validate:"len=2,dive,gt=0,lt=65536"`
-	// SeedNodes are ControlPlane addresses, host:port, of some members. They are needed at a start only, and may be out of date.
+	// SeedNodes are the ControlPlane addresses, host:port, of some members. They are used at startup only, and may be out of date.
 	SeedNodes []string `json:"SeedNodes" validate:"max=64,dive,hostname_port"`
-	// FirstStart is true only when the whole mesh starts for the first time, with empty disks: the members then bootstrap a control plane.
+	// FirstStart is true only when the whole mesh starts for the first time, with empty disks: its members bootstrap the control plane.
 	FirstStart bool `json:"FirstStart"`
-	// QuorumMember is true for machines whose losses FaultTolerance counts.
+	// QuorumMember is true if the loss of this machine counts towards FaultTolerance.Machines.
 	QuorumMember bool `json:"QuorumMember"`
 
 	Limits  Limits `json:"Limits"`
-	DataDir string `json:"DataDir"` // the data folder of a control-plane member; a sidecar has none
+	DataDir string `json:"DataDir"` // data directory of a control-plane member; empty for a sidecar
 
-	// HeartbeatS is the time between two heartbeats of the local server. Default: 1.5.
+	// HeartbeatS is the interval between heartbeats of the local server. Default: 1.5.
 	HeartbeatS      Seconds        `json:"HeartbeatS" validate:"gte=0,lte=3600"`
-	ActiveContracts []string       `json:"ActiveContracts"` // the parts of the platform's rules that are in force
+	ActiveContracts []string       `json:"ActiveContracts"` // names of the platform's rules that are in force
 	FaultTolerance  FaultTolerance `json:"FaultTolerance"`
 	Bounds          Bounds         `json:"Bounds"`
 
-	// AppAddress is the host:port of the local server; empty where there is none.
+	// AppAddress is the host:port of the local server; empty if the machine has no local server.
 	AppAddress string `json:"AppAddress" validate:"omitempty,hostname_port"`
-	// Service is the local server's service.
+	// Service is the name of the service that the local server provides.
 	Service string `json:"Service" validate:"max=256"`
 
-	transportListenAddress string // from the command line, or "" for the address that other processes know
+	transportListenAddress string // from the command line; "" to listen on the advertised address
 }
 
-// ListenAddresses are the listen addresses, as host:port, for each kind of caller. One is empty if the role does not serve that kind.
+// ListenAddresses are the listen addresses, as host:port, by kind of caller. An address is empty if the role does not serve that kind.
 type ListenAddresses struct {
-	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`      // of a sidecar, for other sidecars
-	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // of a sidecar, for requests of callers
-	Readiness    string `json:"Readiness" validate:"omitempty,hostname_port"`    // of a sidecar, for readiness checks
-	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"` // for calls of operators and of servers
+	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`      // sidecar: requests of other sidecars
+	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // sidecar: requests of local callers
+	Readiness    string `json:"Readiness" validate:"omitempty,hostname_port"`    // sidecar: readiness checks
+	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"` // API calls of operators and servers
 }
 
-// Limits are the resource limits of the process. 0 stands for no limit.
+// Limits are the resource limits of the process. 0 means no limit.
 type Limits struct {
-	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`  // of one processor
-	CoreCount float64 `json:"CoreCount" validate:"gte=0"` // processors of the machine
+	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`  // share of one processor
+	CoreCount float64 `json:"CoreCount" validate:"gte=0"` // number of processors of the machine
 	MemoryMB  float64 `json:"MemoryMb" validate:"gte=0"`  // megabytes
 	MaxFds    int     `json:"MaxFds" validate:"gte=0"`    // file descriptors
-	LinkMbps  float64 `json:"LinkMbps" validate:"gte=0"`  // megabits a second of the machine's link
+	LinkMbps  float64 `json:"LinkMbps" validate:"gte=0"`  // bandwidth of the machine's link in megabits per second
 	DiskMB    float64 `json:"DiskMb" validate:"gte=0"`    // megabytes
 }
 
-// FaultTolerance is how many machines, zones and regions may be lost at once.
+// FaultTolerance is the number of machines, zones and regions whose simultaneous loss must be tolerated.
 type FaultTolerance struct {
-	Machines int `json:"Machines" validate:"gte=0,lte=100"` // with QuorumMember. Default: 1
+	Machines int `json:"Machines" validate:"gte=0,lte=100"` // machines with QuorumMember. Default: 1
 	Zones    int `json:"Zones" validate:"gte=0,lte=100"`    // Default: 0
 	Regions  int `json:"Regions" validate:"gte=0,lte=100"`  // Default: 0
 }
 
-// Bounds are the time limits and ratios that the platform requires. Those that the file does not have are set by Defaults.
+// Bounds are the time limits and ratios that the platform requires. Defaults supplies those that the file omits.
 type Bounds struct {
-	// AddrReuseS is after how long the address of a server that is gone may belong to a server of another service. Default: 2.
+	// AddrReuseS is the minimum time before the address of a stopped server may be reused by a server of another service. Default: 2.
 	AddrReuseS Seconds `json:"AddrReuseS" validate:"gte=0"`
-	// ContactS is after how long without faults a machine counts as in contact with the control plane again. Default: 3.
+	// ContactS is how long a machine must run without faults to count as in contact with the control plane again. Default: 3.
 	ContactS Seconds `json:"ContactS" validate:"gte=0"`
-	// AckS is how long an operator's call may take until it is acknowledged. Default: 5.
+	// AckS is the maximum time until an operator's call is acknowledged. Default: 5.
 	AckS Seconds `json:"AckS" validate:"gt=0"`
-	// DrainS is how long a server goes on serving after its draining was acknowledged. Default: 2.
+	// DrainS is how long a server keeps serving after its drain request was acknowledged. Default: 2.
 	DrainS Seconds `json:"DrainS" validate:"gte=0"`
-	// GraceS is the time between SIGTERM and the kill of a process. Default: 6.
+	// GraceS is the time between SIGTERM and SIGKILL of a process. Default: 6.
 	GraceS Seconds `json:"GraceS" validate:"gt=0"`
-	// LossSlackS is how long after its last byte was sent a request may be lost with its connection. Default: 0.2.
+	// LossSlackS is the time after sending its last byte during which a request may be lost if its connection breaks. Default: 0.2.
 	LossSlackS Seconds `json:"LossSlackS" validate:"gte=0"`
-	// ConfigApplyS is within how long after its acknowledgement a configuration is in force on all sidecars. Default: 2.
+	// ConfigApplyS is the maximum time from the acknowledgement of a configuration until all sidecars apply it. Default: 2.
 	ConfigApplyS Seconds `json:"ConfigApplyS" validate:"gt=0"`
-	// RetryBudgetRatio is how many retries are allowed for each request over RetryWindowS. Default: 0.2.
+	// RetryBudgetRatio is the maximum ratio of retries to requests over RetryWindowS. Default: 0.2.
 	RetryBudgetRatio float64 `json:"RetryBudgetRatio" validate:"gte=0,lte=100"`
-	// RetryWindowS is the span over which retries are counted. Default: 10.
+	// RetryWindowS is the length of the window over which retries are counted. Default: 10.
 	RetryWindowS Seconds `json:"RetryWindowS" validate:"gt=0"`
-	// RetrySlack is how many retries all sidecars together may make beyond the ratio. Default: 50.
+	// RetrySlack is the number of retries that all sidecars together may make in excess of RetryBudgetRatio. Default: 50.
 	RetrySlack float64 `json:"RetrySlack" validate:"gte=0"`
-	// KeyWindowS is for how long a request with an idempotency key runs at most once. Default: 60.
+	// KeyWindowS is how long requests with the same idempotency key are deduplicated. Default: 60.
 	KeyWindowS Seconds `json:"KeyWindowS" validate:"gt=0,lte=86400"`
 }
 
-// Defaults returns the settings that apply where the file gives none.
+// Defaults returns the values of settings that the file omits.
 func Defaults() Settings {
 	return Settings{
 		HeartbeatS:     1.5,
@@ -138,7 +139,7 @@
 	}
 }
 
-// Parse parses and checks the text of a settings file. The error names the line and the invalid field.
+// Parse parses and validates the text of a settings file. The error of an invalid field has its name and, if the text has it, its line.
 func Parse(text []byte) (Settings, error) {
 	s := Defaults()
 	if err := yaml.Unmarshal(text, &s); err != nil {
@@ -150,7 +151,7 @@
 	return s, nil
 }
 
-// check returns the first fault of the settings, or nil if they are valid.
+// check returns the first invalid field, or nil if the settings are valid.
 func (s Settings) check() *validation.Fault {
 	if fault := validation.Check(s); fault != nil {
 		return fault
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// linePrefix returns "line N: " for the line of a field, or "" if the text does not have the field.
+// linePrefix returns "line N: " for the line of a field, or "" if the field is not in the text.
 func linePrefix(text []byte, field string) string {
 	if line := validation.LineOf(text, field); line > 0 {
 		return fmt.Sprintf("line %d: ", line)
@@ -169,7 +170,7 @@
 	return ""
 }
 
-// Path returns the path of the settings file, from the environment. The error says that the variable is not set.
+// Path returns the path of the settings file from PathVariable, or an error if the variable is not set.
 func Path() (string, error) {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path, nil
@@ -177,7 +178,7 @@
 	return "", errors.Errorf("settings: %s is not set, and there is no --settings FILE", PathVariable)
 }
 
-// Load reads, parses and checks a file.
+// Load reads a settings file and calls Parse.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -186,11 +187,11 @@
 	return Parse(text)
 }
 
-// TransportPort returns where control-plane members listen for other processes of the mesh, the same on all machines.
+// TransportPort returns the port on which control-plane members listen for other processes of the mesh. It is the same on all machines.
 func (s Settings) TransportPort() int { return s.InternalPortRange[0] }
 
-// MemberAddress returns the transport address, as host:port, of the member whose operators' API is at an address, or of one on this machine
-// if the address is "".
+// MemberAddress returns the transport address, as host:port, of the member whose operators' API listens on apiAddress. If apiAddress is "",
+// it returns the transport address of this machine.
 func (s Settings) MemberAddress(apiAddress string) string {
 	host := s.IPAddress
 	if apiAddress != "" {
@@ -199,7 +200,7 @@
 	return fmt.Sprintf("%s:%d", host, s.TransportPort())
 }
 
-// SeedAddresses returns the transport addresses of the members that the file names.
+// SeedAddresses returns the transport addresses of SeedNodes.
 func (s Settings) SeedAddresses() (addresses []string) {
 	for _, apiAddress := range s.SeedNodes {
 		addresses = append(addresses, s.MemberAddress(apiAddress))
@@ -207,8 +208,8 @@
 	return addresses
 }
 
-// SetTransportListenAddress sets the address, as host:port, on which the process listens for other processes of the mesh. They still
-// connect to the address of its settings.
+// SetTransportListenAddress overrides the address, as host:port, on which the process listens for other processes of the mesh. They still
+// connect to the address in its settings, for example if a relay or address translation is in between.
 func (s *Settings) SetTransportListenAddress(address string) error {
 	if _, err := net.ResolveTCPAddr("tcp4", address); err != nil {
 		return errors.Annotate(err, "transport listen address")
@@ -217,10 +218,11 @@
 	return nil
 }
 
-// TransportListenAddress returns where a process listens that others reach at an address.
-func (s Settings) TransportListenAddress(known string) string {
+// TransportListenAddress returns the address on which the process listens: the one set by SetTransportListenAddress, or else
+// advertised, the address to which other processes connect.
+func (s Settings) TransportListenAddress(advertised string) string {
 	if s.transportListenAddress != "" {
 		return s.transportListenAddress
 	}
-	return known
+	return advertised
 }
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -51,15 +51,15 @@
 	}
 }
 
-// A process listens at the address from its command line, while others know it by the address of its settings.
+// An address from the command line changes where the process listens, but not the address that it advertises.
 func TestTransportListenAddress(t *testing.T) {
 	s := parseExample(t)
-	known := s.MemberAddress("")
-	assert.Equal(t, s.TransportListenAddress(known), "10.1.0.38:7380")
+	advertised := s.MemberAddress("")
+	assert.Equal(t, s.TransportListenAddress(advertised), "10.1.0.38:7380")
 	for _, wrong := range []string{"10.1.0.38", "10.1.0.38:seven:1", "10.1.0.38:70000"} {
 		assert.ErrorContains(t, s.SetTransportListenAddress(wrong), "transport listen address")
 	}
 	assert.NilError(t, s.SetTransportListenAddress("127.0.0.1:7001"))
-	assert.Equal(t, s.TransportListenAddress(known), "127.0.0.1:7001")
-	assert.Equal(t, s.MemberAddress(""), known)
+	assert.Equal(t, s.TransportListenAddress(advertised), "127.0.0.1:7001")
+	assert.Equal(t, s.MemberAddress(""), advertised)
 }
