--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -1,8 +1,8 @@
-// Package api is the HTTP/JSON framework for the calls of servers and operators. A call is a request type, a response type and a
-// function; a generic handler reads and bounds the request, and encodes the response or the error. The package must not decide
-// anything about a call. Handlers run on the goroutines of net/http, several at a time.
+// Package api is the HTTP/JSON framework for API calls of servers and operators. A call consists of a request type, a response type and a
+// handler function; a generic HTTP handler reads and decodes the request, limits its size and duration, and encodes the response or the
+// error. The package knows nothing about individual calls. Handlers run concurrently on the goroutines of net/http.
 //
-// As the protocol's pages require, each error has the body {"ErrorText": "..."}, and each 503 has a Retry-After.
+// The protocol requires that every error response has the body {"ErrorText": "..."}, and that every 503 has a Retry-After header.
 package api
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/juju/errors"
 )
 
-// Error is an error response. Handlers return it, possibly wrapped, for every status other than 500.
+// Error is an error response. A handler returns it, possibly wrapped, to answer with a status other than 500.
 type Error struct {
 	Status int
 	Text   string
@@ -23,21 +23,21 @@
 	location string // Location header of a redirect, or ""
 }
 
-// Error returns the text.
+// Error implements error.
 func (e *Error) Error() string { return e.Text }
 
-// NewError returns an Error.
+// NewError returns an Error with a status and a text for the caller.
 func NewError(status int, text string) error { return &Error{Status: status, Text: text} }
 
-// Redirect returns an Error that redirects the caller, with the same method and body, to another URL.
+// Redirect returns an Error that makes the caller repeat the call, with the same method and body, at another URL.
 func Redirect(location string) error {
 	return &Error{Status: http.StatusTemporaryRedirect, Text: "the leader is elsewhere", location: location}
 }
 
-// RawBody is the body of a request that the handler decodes itself, or a response that is encoded already.
+// RawBody is a request body that the handler decodes itself, or an already encoded response body.
 type RawBody []byte
 
-// Empty is a request whose body is ignored, or a response without content.
+// Empty is a request whose body is ignored, or a response that is an empty JSON object.
 type Empty struct{}
 
 // errorBody is the body of an Error's response.
@@ -45,21 +45,21 @@
 	ErrorText string `json:"ErrorText"`
 }
 
-// timeoutPerMegabyte extends the timeout of a request by the size of its body, because callers wait longer for large ones: 5,000
-// routes are about a megabyte, of 1,000,000 bytes, for which an operator allows 15 s.
+// timeoutPerMegabyte extends the timeout of a request in proportion to its body, because callers wait longer for large changes. A
+// megabyte is 1,000,000 bytes, about 5,000 routes, for which an operator's client waits 15 s.
 const timeoutPerMegabyte = 4 * time.Second
 
-// retryAfter is the Retry-After of every 503, in seconds.
+// retryAfter is the value of the Retry-After header of every 503, in seconds.
 const retryAfter = "0.2"
 
-// TimeoutFor returns the time-out of a request with a body of some bytes.
+// TimeoutFor returns the timeout of a request whose body has bodyBytes bytes.
 func TimeoutFor(base time.Duration, bodyBytes int) time.Duration {
 	return base + timeoutPerMegabyte/1000*time.Duration(bodyBytes)/1000
 }
 
-// NewHandler returns an HTTP handler for a call. A body of more than maxBodyBytes is rejected with 413, one that can't be read or decoded
-// with 400. An error of handle that is not an Error is answered with 500. The ctx of handle ends after TimeoutFor(timeout, body size),
-// counted from when the body was received completely, because a slow link may take longer than that for the body.
+// NewHandler returns an HTTP handler for a call. A body of more than maxBodyBytes is rejected with 413, and one that can't be read or
+// decoded with 400. If handle returns an error that is not an Error, the response is 500. The ctx of handle expires after
+// TimeoutFor(timeout, body size). The timeout starts when the body is complete, because receiving it over a slow link may take longer.
 func NewHandler[Request, Response any](maxBodyBytes int64, timeout time.Duration,
 	handle func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error),
 ) http.HandlerFunc {
@@ -81,7 +81,7 @@
 	}
 }
 
-// readRequest reads and decodes a body into request, which points to a request type.
+// readRequest reads the body of r and decodes it into request, a pointer to a value of the call's request type.
 func readRequest(w http.ResponseWriter, r *http.Request, maxBodyBytes int64, request any) (bodyBytes int, err error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -104,31 +104,31 @@
 	return len(body), nil
 }
 
-// writeError answers with an error: with the status of an Error, or with 500.
+// writeError writes an error response, with the status of the Error in err's chain, or 500 if there is none.
 func writeError(w http.ResponseWriter, err error) {
-	var withStatus *Error
-	if !errors.As(err, &withStatus) {
+	var apiError *Error
+	if !errors.As(err, &apiError) {
 		writeResponse(w, http.StatusInternalServerError, errorBody{err.Error()})
 		return
 	}
-	if withStatus.location != "" {
-		w.Header().Set("Location", withStatus.location)
+	if apiError.location != "" {
+		w.Header().Set("Location", apiError.location)
 	}
-	if withStatus.Status == http.StatusServiceUnavailable {
+	if apiError.Status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfter)
 	}
-	writeResponse(w, withStatus.Status, errorBody{withStatus.Text})
+	writeResponse(w, apiError.Status, errorBody{apiError.Text})
 }
 
-// writeResponse encodes a response and writes it with a status.
+// writeResponse writes a status and an encoded response.
 func writeResponse(w http.ResponseWriter, status int, response any) {
 	body := encodeResponse(response)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error means that the caller has disconnected
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
 
-// encodeResponse encodes a response. Responses are structs of plain fields, whose encoding can't fail.
+// encodeResponse encodes a response body. Encoding can't fail, because responses are structs with fields of plain types.
 func encodeResponse(response any) []byte {
 	switch response := response.(type) {
 	case RawBody:
@@ -140,17 +140,17 @@
 	return body
 }
 
-// Limits of a server's connections.
+// Limits of a connection to the server.
 const (
-	headerTimeout = 5 * time.Second // for the header of a request
-	// requestTimeout bounds receiving and answering a request: receiving the largest one takes 17 s over a link of 2 Mbit/s, and
-	// handling it may take as long again.
+	headerTimeout = 5 * time.Second // to receive the header of a request
+	// requestTimeout limits receiving and answering a request. The largest request takes 17 s to receive over a 2 Mbit/s link, and
+	// may take as long again to handle.
 	requestTimeout = time.Minute
-	idleTimeout    = 30 * time.Second // between two requests of a connection
+	idleTimeout    = 30 * time.Second // between requests on a connection
 	maxHeaderBytes = 16 << 10
 )
 
-// NewServer returns an HTTP server with the time and size limits of API calls. The caller serves a listener with it and closes it.
+// NewServer returns an HTTP server with the timeouts and size limits of API calls. The caller has to serve a listener and close the server.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
--- a/internal/mesh/api/api_test.go
+++ b/internal/mesh/api/api_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// serve passes a request with a body to a handler.
+// serve sends a POST request with a body to a handler and returns the recorded response.
 func serve(handler http.HandlerFunc, body io.Reader) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	handler(w, httptest.NewRequest(http.MethodPost, "/path", body))
@@ -37,12 +37,12 @@
 	for name, test := range map[string]struct {
 		body   string
 		status int
-		want   string // with which the answer begins
+		want   string // prefix of the response body
 	}{
 		"response":          {`{"A":7}`, 200, `{"B":7}`},
 		"wrapped error":     {`{"A":1}`, 409, `{"ErrorText":"not twice"}`},
 		"unavailable":       {`{"A":2}`, 503, `{"ErrorText":"later"}`},
-		"error of no kind":  {`{"A":3}`, 500, `{"ErrorText":"broken"}`},
+		"plain error":       {`{"A":3}`, 500, `{"ErrorText":"broken"}`},
 		"malformed body":    {`{"A":`, 400, `{"ErrorText":"`},
 		"body is too large": {`{"A":1111111111111111}`, 413, `{"ErrorText":"`},
 	} {
@@ -63,7 +63,7 @@
 	assert.Equal(t, serve(echo, strings.NewReader("as it is")).Body.String(), "as it is")
 }
 
-// slowBody is a request body that arrives after some time.
+// slowBody is a request body of which each read is delayed.
 type slowBody struct {
 	io.Reader
 	delay time.Duration
@@ -74,8 +74,8 @@
 	return b.Reader.Read(p)
 }
 
-// The timeout of a request begins when its body is complete.
-func TestSlowBodyTakesNoTimeFromTheHandler(t *testing.T) {
+// The timeout of a handler starts when the request body is complete, so a slow upload does not shorten it.
+func TestHandlerTimeoutStartsAfterBody(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	handler := NewHandler(20, timeout, func(ctx context.Context, _ *http.Request, _ RawBody) (Empty, error) {
 		if ctx.Err() != nil {
@@ -87,14 +87,14 @@
 	assert.Equal(t, w.Code, http.StatusOK)
 }
 
-// A small request has the base timeout, and a large one more in proportion to its size.
+// The timeout grows with the size of the body, from the base timeout of an empty one.
 func TestTimeoutFor(t *testing.T) {
 	assert.Equal(t, TimeoutFor(time.Second, 0), time.Second)
 	assert.Equal(t, TimeoutFor(time.Second, 1000), time.Second+4*time.Millisecond)
 	assert.Equal(t, TimeoutFor(time.Second, 4<<20), time.Second+16777216*time.Microsecond)
 }
 
-// A redirected caller repeats the same call: the status is 307, and Location has the address.
+// A redirect has status 307, with which the caller repeats the same method and body, and the target in the Location header.
 func TestRedirect(t *testing.T) {
 	const target = "http://10.0.0.4:8080/path"
 	handler := NewHandler(20, time.Minute, func(context.Context, *http.Request, RawBody) (Empty, error) { return Empty{}, Redirect(target) })
