--- a/internal/mesh/apiclient/await.go
+++ b/internal/mesh/apiclient/await.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// pollInterval is the time between two calls while waiting.
+	// pollInterval is the time between calls that poll for progress.
 	pollInterval = 200 * time.Millisecond
-	// policyActiveTimeout is well above the time for which a policy set waits for sidecars that do not answer.
+	// policyActiveTimeout is well above the time for which the activation of a policy set waits for unresponsive sidecars.
 	policyActiveTimeout = 15 * time.Second
 )
 
 // Errors of AwaitPolicyActive and FollowOrder.
 const (
-	// ErrUnknownOrder says that no order has the ID, so that it was never placed, or was forgotten since.
+	// ErrUnknownOrder means that no order has the ID: it was never placed, or has been deleted since.
 	ErrUnknownOrder = errors.ConstError("unknown order")
-	// ErrPolicyPending says that a policy set has not become active in time. It still may: the call can be repeated.
+	// ErrPolicyPending means that the policy set was not active in time. It may still become active: the call can be repeated.
 	ErrPolicyPending = errors.ConstError("the policy set is committed and not active yet")
 )
 
-// AwaitPolicyActive waits until the committed policy set is active. The error is ErrPolicyPending after policyActiveTimeout.
+// AwaitPolicyActive waits until the committed policy set is active, or until policyActiveTimeout. If the policy set is still pending
+// then, the error is ErrPolicyPending.
 func (c Client) AwaitPolicyActive() error {
 	for deadline := time.Now().Add(policyActiveTimeout); ; time.Sleep(pollInterval) {
 		response, err := c.Policy(controlplane.PolicyRequest{})
@@ -42,14 +43,14 @@
 	}
 }
 
-// OrderProgress is what has happened to a maintenance order since the last report.
+// OrderProgress is the progress of a maintenance order since the previous report.
 type OrderProgress struct {
 	Order      maintenance.Order
-	Events     []maintenance.Event // new ones
-	WaitingFor string              // what it waits for, or "" if that has not changed
+	Events     []maintenance.Event // events since the previous report
+	WaitingFor string              // what the order waits for, or "" if that has not changed since the previous report
 }
 
-// WriteText prints the new events and what the order waits for, as text for operators.
+// WriteText writes the new events and what the order waits for as lines of text for operators.
 func (p OrderProgress) WriteText(w io.Writer) {
 	for _, e := range p.Events {
 		fmt.Fprintf(w, "%s  %-24s %-10s %s\n", e.Time.Earliest.UTC().Format("15:04:05.0"), e.Machine, e.Step, e.Text)
@@ -62,7 +63,7 @@
 // FollowOrder reports the progress of an order until it is finished, and returns its last step. The error is ErrUnknownOrder if there
 // is no such order.
 func (c Client) FollowOrder(id string, report func(OrderProgress)) (maintenance.Step, error) {
-	shown, lastWait := 0, ""
+	reported, lastWaitingFor := 0, "" // number of events, and the last value of WaitingFor
 	for ; ; time.Sleep(pollInterval) {
 		response, err := c.Maintenance(controlplane.MaintenanceRequest{})
 		if err != nil {
@@ -72,11 +73,11 @@
 		if !found {
 			return "", errors.Annotatef(ErrUnknownOrder, "%q", id)
 		}
-		progress := OrderProgress{Order: order, Events: order.Events[min(shown, len(order.Events)):]}
-		shown = len(order.Events)
+		progress := OrderProgress{Order: order, Events: order.Events[min(reported, len(order.Events)):]}
+		reported = len(order.Events)
 		finished := order.Step.IsFinished()
-		if wait := response.WaitingFor[id]; !finished && wait != "" && wait != lastWait {
-			lastWait, progress.WaitingFor = wait, wait
+		if waitingFor := response.WaitingFor[id]; !finished && waitingFor != "" && waitingFor != lastWaitingFor {
+			lastWaitingFor, progress.WaitingFor = waitingFor, waitingFor
 		}
 		report(progress)
 		if finished {
--- a/internal/mesh/apiclient/client.go
+++ b/internal/mesh/apiclient/client.go
@@ -1,8 +1,8 @@
 // Package apiclient calls the operators' HTTP API of a control-plane member.
 //
-// It owns the requests and the decoding of their responses. It must never decide anything about the mesh, and never retry: whether a
-// change without an answer is sent again is the operator's decision. Any goroutine may call it; each call blocks until its response. The
-// API's paths and forms are those of the operators' pages, docs/maintenance.md and docs/rules.md.
+// It encodes requests and decodes responses. It makes no decisions about the mesh and never retries: whether to repeat a change that
+// received no response is the operator's decision. A Client is safe for concurrent use; each call blocks until its response arrives. The
+// paths and formats of the API are documented in docs/maintenance.md and docs/rules.md.
 package apiclient
 
 import (
@@ -21,38 +21,38 @@
 	"cranegrade/internal/mesh/controlplane"
 )
 
-// ErrUnavailable is the error if a member does not answer, or answers 503. A read can be tried again, at this member or another; after a
-// change see Client.Modify.
+// ErrUnavailable is the error of a call if the member does not respond, or responds with 503. A read can be retried at this or another
+// member; for changes see Client.Modify.
 const ErrUnavailable = errors.ConstError("the control plane is not available")
 
-// maxResponseBytes is the most that is read of a response.
+// maxResponseBytes is the size at which a response body is truncated.
 const maxResponseBytes = 64 << 20
 
-// StatusError is a response with another status than 200.
+// StatusError is the error of a call whose response has a status other than 200.
 type StatusError struct {
 	Addr   string // of the member
 	Code   int
-	Status string // code and text, as HTTP has them
-	Text   string // the member's reason
+	Status string // status line, such as "404 Not Found"
+	Text   string // body of the response: why the member rejected the call
 }
 
-// Error returns the member, the status and the reason.
+// Error implements error.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s answers %s: %s", e.Addr, e.Status, e.Text)
 }
 
-// Is makes a response with 503 match ErrUnavailable.
+// Is makes errors.Is match a 503 response with ErrUnavailable.
 func (e *StatusError) Is(target error) bool {
 	return target == ErrUnavailable && e.Code == http.StatusServiceUnavailable
 }
 
-// Client calls one member. It may be used by any goroutine.
+// Client calls one control-plane member. It is safe for concurrent use.
 type Client struct {
-	Addr    string        // ControlPlane of the member: host and port
-	Timeout time.Duration // of each call, or 0 for none
+	Addr    string        // ControlPlane listen address of the member, as host:port
+	Timeout time.Duration // of each call; 0 means none
 }
 
-// Configuration returns the configuration as a majority confirmed it, as text and as a table.
+// Configuration returns the configuration that a majority of the members confirmed, both as JSON text and as a parsed table.
 func (c Client) Configuration() (text []byte, table config.Table, err error) {
 	text, err = c.call(http.MethodGet, controlplane.PathFetch, nil)
 	if err != nil {
@@ -66,26 +66,27 @@
 	return text, table, nil
 }
 
-// Modify sends a change, which is acknowledged if there is no error. After ErrUnavailable it may have been accepted or not, and can
-// safely be sent again unchanged.
+// Modify sends a configuration change. A nil error means that the change is acknowledged. After ErrUnavailable it is unknown whether
+// the change was accepted; it is safe to send the same change again.
 func (c Client) Modify(body []byte) error {
 	_, err := c.call(http.MethodPost, controlplane.PathModify, body)
 	return err
 }
 
-// Maintenance sends a call about maintenance, which the leader answers.
+// Maintenance sends a maintenance call, which is answered by the leader.
 func (c Client) Maintenance(request controlplane.MaintenanceRequest) (response controlplane.MaintenanceResponse, err error) {
 	err = c.callJSON(request, &response, controlplane.PathMaintenance, controlplane.FormerPathMaintenance)
 	return response, err
 }
 
-// Policy sends a call about policies, which the leader answers.
+// Policy sends a policy call, which is answered by the leader.
 func (c Client) Policy(request controlplane.PolicyRequest) (response controlplane.PolicyResponse, err error) {
 	err = c.callJSON(request, &response, controlplane.PathPolicy, controlplane.FormerPathPolicy)
 	return response, err
 }
 
-// callJSON posts a request to the first of the paths that is not answered with 404. response points to what the response is decoded into.
+// callJSON posts a request to each path in turn until one does not respond with 404, and decodes its response into response, a pointer.
+// The later paths are names from former releases.
 func (c Client) callJSON(request, response any, paths ...string) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -105,8 +106,8 @@
 	return errors.Annotatef(json.Unmarshal(text, response), "reading the response of %s", c.Addr)
 }
 
-// call sends one request and returns the body of the response if its status is 200. Other statuses are a *StatusError. A member that
-// can't be reached, or whose response is incomplete, is ErrUnavailable.
+// call sends a request and returns the body of the response if its status is 200. For any other status the error is a *StatusError. If
+// the member can't be reached or its response is incomplete, the error is ErrUnavailable.
 func (c Client) call(method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
