--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -1,5 +1,5 @@
-// Package logring keeps the latest log lines of a process in a ring buffer in memory. They are written to an output when an error is
-// logged, and meshctl reads them over the network. Nothing else is written, so that the log of a healthy process costs no I/O.
+// Package logring keeps the latest log lines of a process in a ring buffer in memory. The buffer is written to an output when an error is
+// logged, and meshctl can read it over the network. Otherwise nothing is written, so that logging costs a healthy process no I/O.
 package logring
 
 import (
@@ -12,33 +12,33 @@
 
 const (
 	capacity         = 256                    // lines
-	maxLineBytes     = 1 << 10                // longer lines are cut
-	minFlushInterval = 500 * time.Millisecond // bounds the output of a process that logs many errors
+	maxLineBytes     = 1 << 10                // longer lines are truncated
+	minFlushInterval = 500 * time.Millisecond // limits the output of a process that logs many errors
 )
 
-// Ring is a ring buffer of log lines. It implements zerolog.LevelWriter, and may be used by any goroutine.
+// Ring is a ring buffer of log lines. It implements zerolog.LevelWriter and is safe for concurrent use.
 type Ring struct {
 	out io.Writer
 	now func() time.Time
 
-	mu        sync.Mutex // guards below
+	mu        sync.Mutex // guards the fields below
 	lines     [capacity][]byte
-	next      int // index in lines of the next line to be written
+	next      int // index in lines at which the next line is stored
 	count     int // number of lines in the ring
 	lastFlush time.Time
 }
 
-// New returns a logger of the process with a name, and the ring that it writes to. The ring is written to out with each error.
+// New returns a logger for the process called name, and the ring to which the logger writes. Logging an error flushes the ring to out.
 func New(out io.Writer, name string) (zerolog.Logger, *Ring) {
 	ring := &Ring{out: out, now: time.Now}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	return zerolog.New(ring).With().Timestamp().Str("at", name).Logger(), ring
 }
 
-// Write adds a line without a level.
+// Write adds a line at level info.
 func (r *Ring) Write(line []byte) (int, error) { return r.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel adds a line. If its level is error or above, it flushes the ring, at most once in minFlushInterval. It never fails.
+// WriteLevel adds a line. A line of level error or above also flushes the ring, at most once per minFlushInterval. The error is always nil.
 func (r *Ring) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 	return len(line), nil
 }
 
-// Contents returns the lines in the ring, the oldest first. It is empty for a nil Ring.
+// Contents returns the lines in the ring, oldest first. A nil Ring has no lines.
 func (r *Ring) Contents() []byte {
 	if r == nil {
 		return nil
@@ -77,7 +77,7 @@
 	r.lastFlush = r.now()
 	contents := r.contentsLocked()
 	r.count = 0
-	_, _ = r.out.Write(contents) // there is nowhere to report that the log can't be written
+	_, _ = r.out.Write(contents) // a failed write of the log can't be reported anywhere
 }
 
 // contentsLocked is Contents for a caller that holds mu.
--- a/internal/mesh/logring/logring_test.go
+++ b/internal/mesh/logring/logring_test.go
@@ -11,14 +11,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// newTestRing returns a ring whose clock shows *now.
+// newTestRing returns a ring that writes to out and whose clock returns *now.
 func newTestRing() (ring *Ring, out *bytes.Buffer, now *time.Time) {
 	out, now = &bytes.Buffer{}, new(time.Time)
 	*now = time.Unix(1_000, 0)
 	return &Ring{out: out, now: func() time.Time { return *now }}, out, now
 }
 
-func TestRingKeepsTheLatestLines(t *testing.T) {
+func TestRingKeepsLatestLines(t *testing.T) {
 	ring, out, _ := newTestRing()
 	for i := range capacity + 2 {
 		_, err := ring.Write(fmt.Appendf(nil, "line %d\n", i))
@@ -31,7 +31,7 @@
 	assert.Equal(t, out.Len(), 0)
 }
 
-func TestRingCutsLongLines(t *testing.T) {
+func TestRingTruncatesLongLines(t *testing.T) {
 	ring, _, _ := newTestRing()
 	line := strings.Repeat("x", maxLineBytes+1)
 	n, err := ring.Write([]byte(line))
@@ -40,7 +40,7 @@
 	assert.Equal(t, string(ring.Contents()), line[:maxLineBytes]+"\n")
 }
 
-func TestErrorWritesOutTheRing(t *testing.T) {
+func TestErrorFlushesRing(t *testing.T) {
 	ring, out, now := newTestRing()
 	write := func(level zerolog.Level, line string) {
 		t.Helper()
@@ -59,7 +59,7 @@
 	assert.Equal(t, out.String(), "before\nerror\ntoo soon\nlater\n")
 }
 
-func TestNilRingHoldsNothing(t *testing.T) {
+func TestNilRingIsEmpty(t *testing.T) {
 	var ring *Ring
 	assert.Equal(t, len(ring.Contents()), 0)
 }
--- a/internal/mesh/validation/validation.go
+++ b/internal/mesh/validation/validation.go
@@ -1,8 +1,8 @@
-// Package validation checks decoded input by its struct tags, and reports fields by their JSON names, as the input's author
-// wrote them.
+// Package validation validates decoded input by its struct tags. It reports an invalid field by its JSON name, which is the name in the
+// input.
 //
-// It is pure, and any goroutine may call it. Rules that a tag can't express are checked by the packages of the types, which
-// return the same Fault.
+// Its functions have no side effects and are safe for concurrent use. Rules that a struct tag can't express are checked by the packages
+// that define the types, which also report a Fault.
 package validation
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/juju/errors"
 )
 
-// validate reads the tags of each type once, and is safe for concurrent use.
+// validate caches the tags of each type, and is safe for concurrent use.
 var validate = newValidate()
 
-// newValidate returns a validator that names fields by their JSON names.
+// newValidate returns a validator that reports fields by their JSON names.
 func newValidate() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -29,14 +29,14 @@
 	return v
 }
 
-// Fault is the first field that breaks a rule. Field is its path of JSON names, for example List[1].Name, or empty if the fault is in
-// no single field. Text continues a sentence that begins with the field: "is 0; wanted: gt 0".
+// Fault describes the first violation of a rule. Field is the path of JSON names of the invalid field, for example List[1].Name, or empty
+// if the fault is not in a single field. Text is a predicate to Field: "is 0; wanted: gt 0".
 type Fault struct {
 	Field string
 	Text  string
 }
 
-// Check checks a struct by its validate tags. It returns nil if the struct is valid.
+// Check validates a struct by its validate tags. It returns nil if the struct is valid.
 func Check(decoded any) *Fault {
 	err := validate.Struct(decoded)
 	if err == nil {
@@ -52,8 +52,9 @@
 	return &Fault{Field: field, Text: fmt.Sprintf("is %v; wanted: %s", first.Value(), wanted)}
 }
 
-// LineOf returns the line of a JSON or YAML text, from 1, that names the field of a path: its parts are looked for one behind the other. A
-// part that is not there counts as where the one before it is. If not even the first is there, it returns 0.
+// LineOf returns the number, from 1, of the line in a JSON or YAML text that has the key of the field at path. It searches for the first
+// occurrence of each name of the path after the key of the name before, and ignores list indexes. If a name is missing, the result is the
+// line of the name before it, or 0 if that is the first name.
 func LineOf(text []byte, path string) int {
 	offset, found := 0, false
 	for part := range strings.SplitSeq(path, ".") {
@@ -75,7 +76,7 @@
 	return 1 + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// keyPattern matches a key of JSON, or of YAML at the beginning of a line or list entry.
+// keyPattern returns a pattern that matches name as a key in JSON, or in YAML at the beginning of a line or list entry.
 func keyPattern(name string) *regexp.Regexp {
 	quoted := regexp.QuoteMeta(name)
 	return regexp.MustCompile(`(?m)"` + quoted + `"\s*:|^\s*(?:- )?` + quoted + `\s*:`)
--- a/internal/mesh/validation/validation_test.go
+++ b/internal/mesh/validation/validation_test.go
@@ -14,13 +14,13 @@
 	List []inner `json:"List" validate:"dive"`
 }
 
-func TestCheckNamesFieldsByTheirJSONNames(t *testing.T) {
+func TestCheckReportsJSONNames(t *testing.T) {
 	assert.Assert(t, Check(outer{[]inner{{1}}}) == nil)
 	fault := Check(outer{[]inner{{1}, {0}}})
 	assert.DeepEqual(t, *fault, Fault{"List[1].TheNumber", "is 0; wanted: gt 0"})
 }
 
-func TestCheckOfWhatIsNoStruct(t *testing.T) {
+func TestCheckRejectsNonStruct(t *testing.T) {
 	fault := Check(1)
 	assert.Assert(t, fault != nil && fault.Field == "" && fault.Text != "")
 }
@@ -31,10 +31,10 @@
 		text, path string
 		want       int
 	}{
-		"the first of several":           {yaml, "List[1].TheNumber", 3},
-		"behind the part before it":      {yaml, "B.A", 6},
-		"the part before a missing one":  {yaml, "B.none", 5},
-		"nothing of the path":            {yaml, "none", 0},
+		"list index is ignored":          {yaml, "List[1].TheNumber", 3},
+		"nested key":                     {yaml, "B.A", 6},
+		"nested key is missing":          {yaml, "B.none", 5},
+		"first key is missing":           {yaml, "none", 0},
 		"JSON with space before a colon": {"{\"a\":\n{\"b\" : 2}}", "a.b", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
