--- a/internal/mesh/daemon/daemon.go
+++ b/internal/mesh/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon is the common frame of the mesh's programs: command line, settings file and its changes, signals, log and exit codes.
-// It owns the process; the role that runs in it is given by the program, and the package must not depend on any role. Main is called once.
+// Package daemon implements what all programs of the mesh have in common: command line, settings file and its reloading, signals, logging
+// and exit codes. A program passes the role to run to Main, which it calls once. The package must not depend on any particular role.
 //
-// Signals follow daemon(7): SIGTERM and SIGINT end the process, SIGHUP has it read its settings again.
+// Signals follow daemon(7): SIGTERM and SIGINT terminate the process, and SIGHUP makes it reload its settings.
 package daemon
 
 import (
@@ -20,33 +20,33 @@
 	"cranegrade/internal/mesh/settings"
 )
 
-// Exit codes of the programs. docs/ONCALL.md says what to do with each.
+// Exit codes of the programs. docs/ONCALL.md describes how to respond to each.
 const (
-	ExitOK    = 0 // ended by a signal, or done
+	ExitOK    = 0 // terminated by a signal, or finished
 	ExitFault = 1 // the role could not start, or failed
-	ExitUsage = 2 // invalid command line or settings
+	ExitUsage = 2 // the command line or the settings are invalid
 )
 
 const (
-	settingsPollInterval = time.Second // a settings file may change without a SIGHUP
-	gcPercent            = 50          // GOGC: less memory for more CPU, because processes share their machines
+	settingsPollInterval = time.Second // the settings file is polled, because it may change without a SIGHUP
+	gcPercent            = 50          // GOGC: uses more CPU to save memory, because several processes share a machine
 	memoryLimitShare     = 0.8         // GOMEMLIMIT as a share of Limits.MemoryMb
 )
 
-// Role is the part of a program that differs between programs, such as a sidecar.
+// Role is the part of a process that differs between programs: a sidecar or a control-plane member.
 type Role interface {
-	// Run serves until ctx ends and the requests accepted before are answered.
+	// Run serves until ctx is cancelled and all requests that were accepted before are answered.
 	Run(ctx context.Context) error
-	// Reload applies changed settings. It is called on another goroutine than Run.
+	// Reload applies changed settings. It is called concurrently with Run.
 	Reload(settings.Settings)
-	// Addr is the listen address that is reported at the start.
+	// Addr returns the listen address that the process reports at startup.
 	Addr() string
 }
 
-// NewRole returns the role of a program, ready to run.
+// NewRole creates the role of a program. The role can log, and its log lines are available in the ring.
 type NewRole func(settings.Settings, zerolog.Logger, *logring.Ring, Options) (Role, error)
 
-// Main runs a program and returns its exit code, once a signal has ended it or its role has failed.
+// Main runs a program until a signal terminates it or its role fails, and returns the exit code.
 func Main(name string, newRole NewRole) int {
 	reload, terminate := notifySignals()
 	options, err := parseOptions(os.Args[1:])
@@ -81,16 +81,17 @@
 	return ExitOK
 }
 
-// run runs a role until a signal ends it, and reloads its settings when they change. It waits for the goroutine that it starts.
+// run runs a role until it fails or terminate receives a signal, and reloads the settings when they change. All its goroutines have ended
+// when it returns.
 func run(role Role, file *settingsFile, log zerolog.Logger, reload, terminate <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	watching := make(chan struct{})
+	watcherDone := make(chan struct{})
 	defer func() {
 		cancel()
-		<-watching
+		<-watcherDone
 	}()
 	go func() {
-		defer close(watching)
+		defer close(watcherDone)
 		poll := time.NewTicker(settingsPollInterval)
 		defer poll.Stop()
 		for {
@@ -109,15 +110,15 @@
 	return role.Run(ctx)
 }
 
-// notifySignals registers for the signals. A program does this first, because an unhandled SIGHUP ends the process.
+// notifySignals registers the signal handlers. Main calls it first, because an unhandled SIGHUP terminates the process.
 func notifySignals() (reload, terminate <-chan os.Signal) {
-	hangup, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	hangup, termination := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
-	return hangup, end
+	signal.Notify(termination, syscall.SIGTERM, syscall.SIGINT)
+	return hangup, termination
 }
 
-// limitMemory sets the limits of Go's garbage collector. 0 megabytes stand for no limit.
+// limitMemory configures Go's garbage collector for a memory limit. 0 means no limit.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(gcPercent)
 	if megabytes > 0 {
@@ -125,7 +126,7 @@
 	}
 }
 
-// newLogger returns a logger that writes to a ring and, if verbose, also directly to standard error.
+// newLogger returns a logger that writes to a ring and, if verbose is set, also directly to standard error.
 func newLogger(nodeName string, verbose bool) (zerolog.Logger, *logring.Ring) {
 	log, ring := logring.New(os.Stderr, nodeName)
 	if verbose {
--- a/internal/mesh/daemon/daemon_test.go
+++ b/internal/mesh/daemon/daemon_test.go
@@ -20,10 +20,10 @@
 	validFile   = "NodeName: one\nIpAddress: 10.0.0.1\nInternalPortRange: [7380, 7395]\n"
 )
 
-// fakeRole runs until its context ends, and forwards the settings that it receives.
+// fakeRole runs until its context is cancelled, and forwards the settings passed to Reload.
 type fakeRole struct {
 	reloaded chan settings.Settings
-	err      error // Run ends with it at once
+	err      error // if set, Run returns it immediately
 }
 
 func (r *fakeRole) Run(ctx context.Context) error {
@@ -69,7 +69,7 @@
 	assert.ErrorContains(t, err, settings.PathVariable)
 }
 
-func TestOnlyChangedAndValidSettingsAreReloaded(t *testing.T) {
+func TestReloadSkipsUnchangedAndInvalidSettings(t *testing.T) {
 	file := openTestSettings(t)
 	role := &fakeRole{reloaded: make(chan settings.Settings, 8)}
 	file.reload(role, zerolog.Nop())
@@ -84,7 +84,7 @@
 	assert.Equal(t, (<-role.reloaded).Zone, "east")
 }
 
-func TestRunTakesSignals(t *testing.T) {
+func TestRunHandlesSignals(t *testing.T) {
 	file := openTestSettings(t)
 	role := &fakeRole{reloaded: make(chan settings.Settings, 8)}
 	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestRunReturnsTheRolesError(t *testing.T) {
+func TestRunReturnsErrorOfRole(t *testing.T) {
 	want := errors.New("fault")
 	err := run(&fakeRole{err: want}, openTestSettings(t), zerolog.Nop(), nil, nil)
 	assert.ErrorIs(t, err, want)
--- a/internal/mesh/daemon/oncall_test.go
+++ b/internal/mesh/daemon/oncall_test.go
@@ -23,10 +23,10 @@
 	oncallPage = repository + "/docs/ONCALL.md"
 )
 
-// loggedLevels are the methods of zerolog.Logger that begin a log line that the page has to explain.
+// loggedLevels maps the methods of zerolog.Logger that start a log line which the page has to explain to the names of their levels.
 var loggedLevels = map[string]string{"Warn": "warn", "Error": "error", "Fatal": "fatal", "Panic": "panic"}
 
-// The page has a heading "### `message` (level)" for each log line of level warn and above, and no others.
+// The page must have a heading "### `message` (level)" for each log line of level warn or above, and no other headings of this form.
 func TestOncallPageExplainsEachLogLine(t *testing.T) {
 	var logged []string
 	for _, file := range sourceFiles(t, "internal/mesh", "cmd/sidecar", "cmd/controlplane") {
@@ -36,7 +36,7 @@
 	assert.DeepEqual(t, sortedSet(headings(t)), sortedSet(logged))
 }
 
-// The page's table of exit codes has a row "| `program` | code |" for each constant of a program.
+// The page's table of exit codes must have a row "| `program` | code |" for each exit code of each program.
 func TestOncallPageExplainsEachExitCode(t *testing.T) {
 	page := readPage(t)
 	codes := map[string][]string{
@@ -53,7 +53,7 @@
 	}
 }
 
-// The page's table of alarms names each warning of meshctl status.
+// The page's table of alarms must have a row for each warning of meshctl status.
 func TestOncallPageExplainsEachAlarm(t *testing.T) {
 	page := readPage(t)
 	alarms := warningTexts(t)
@@ -63,7 +63,7 @@
 	}
 }
 
-// warningTexts returns the phrases in the functions of package topology that return warnings.
+// warningTexts returns the phrases in those functions of topology/warnings.go whose names contain "warning".
 func warningTexts(t *testing.T) (texts []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repository, "internal/mesh/topology/warnings.go"), nil,
@@ -77,7 +77,8 @@
 	return texts
 }
 
-// phrases returns the string literals of a function that are texts, without the colon before a reason.
+// phrases returns the string literals of a function that contain a space, and "lags", without a trailing colon. Other literals, such as
+// identifiers, are not warnings.
 func phrases(t *testing.T, function *ast.FuncDecl) (phrases []string) {
 	t.Helper()
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -103,7 +104,7 @@
 	return string(page)
 }
 
-// headings returns the log lines that the page explains, as "message (level)".
+// headings returns the log lines that have a heading on the page, as "message (level)".
 func headings(t *testing.T) (lines []string) {
 	t.Helper()
 	for _, match := range regexp.MustCompile("(?m)^### `([^`]+)` (\\([a-z]+\\))$").FindAllStringSubmatch(readPage(t), -1) {
@@ -118,7 +119,7 @@
 	return slices.Compact(lines)
 }
 
-// sourceFiles parses the files of directories and those below them, tests left out.
+// sourceFiles parses the Go files, except for tests, in directories and their subdirectories.
 func sourceFiles(t *testing.T, directories ...string) (files []*ast.File) {
 	t.Helper()
 	for _, directory := range directories {
@@ -135,7 +136,7 @@
 	return files
 }
 
-// logLines returns the log lines of a file, as "message (level)". A message has to be a literal, so that it can be searched for.
+// logLines returns the log lines of a file, as "message (level)". It requires each message to be a literal, so that it is searchable.
 func logLines(t *testing.T, file *ast.File) (lines []string) {
 	t.Helper()
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -161,8 +162,8 @@
 	return lines
 }
 
-// chainLevel returns the level that a chain of zerolog calls begins with, as in log.Error().Err(err). It is empty for levels below warn
-// and for other expressions.
+// chainLevel returns the level with which a chain of zerolog calls starts, such as error for log.Error().Err(err). It returns "" for levels
+// below warn and for other expressions.
 func chainLevel(expression ast.Expr) string {
 	for {
 		call, ok := expression.(*ast.CallExpr)
@@ -180,14 +181,14 @@
 	}
 }
 
-// exitCodes returns the values of constants whose names begin with exit, in packages that may have them.
+// exitCodes returns the values of constants whose names start with exit or Exit. Directories that do not exist are skipped.
 func exitCodes(t *testing.T, directories ...string) (codes []string) {
 	t.Helper()
-	exist := slices.DeleteFunc(directories, func(directory string) bool {
+	existing := slices.DeleteFunc(directories, func(directory string) bool {
 		_, err := os.Stat(filepath.Join(repository, directory))
 		return errors.Is(err, fs.ErrNotExist)
 	})
-	for _, file := range sourceFiles(t, exist...) {
+	for _, file := range sourceFiles(t, existing...) {
 		ast.Inspect(file, func(node ast.Node) bool {
 			spec, ok := node.(*ast.ValueSpec)
 			if !ok || !strings.HasPrefix(strings.ToLower(spec.Names[0].Name), "exit") || len(spec.Values) == 0 {
--- a/internal/mesh/daemon/options.go
+++ b/internal/mesh/daemon/options.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 )
 
-// errHelp is the error of parseOptions if the command line requests help.
+// errHelp is the error of parseOptions if the command line has --help.
 const errHelp = errors.ConstError("help requested")
 
-// Options are the command line of every program. Lines are long because struct tags can't be broken.
+// Options are the command-line options that all programs accept. Lines are long because struct tags can't be wrapped.
 type Options struct {
 	Settings        string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; default: the one that $CRANEGRADE_NODE_FILE names"`
 	Check           bool          `long:"check" description:"check the settings file and end"`
@@ -23,14 +23,14 @@
 	Former formerOptions `group:"names of the former release" hidden:"yes"`
 }
 
-// formerOptions are the options by their names in the previous release, which are accepted for one more release.
+// formerOptions are options under their names of the previous release, which this release still accepts and the next one removes.
 type formerOptions struct {
 	Standing string        `long:"standing" hidden:"yes"`
 	Ahead    time.Duration `long:"ahead" hidden:"yes"`
 	Trunks   string        `long:"listen-trunks" hidden:"yes"`
 }
 
-// parseOptions parses a command line. The parser prints help and errors itself.
+// parseOptions parses the arguments of a command line. The parser itself prints the help text and error messages.
 func parseOptions(args []string) (Options, error) {
 	var options Options
 	if _, err := flags.NewParser(&options, flags.Default).ParseArgs(args); err != nil {
--- a/internal/mesh/daemon/options_test.go
+++ b/internal/mesh/daemon/options_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOptionsTakeFormerNames(t *testing.T) {
+func TestOptionsAcceptFormerNames(t *testing.T) {
 	want := Options{InitialOrders: "orders.json", ClockOffset: 40 * time.Minute, ListenTransport: "127.0.0.1:7001"}
 	for name, args := range map[string][]string{
-		"names of today": {"--initial-orders", "orders.json", "--clock-offset", "40m", "--listen-transport", "127.0.0.1:7001"},
-		"former names":   {"--standing", "orders.json", "--ahead", "40m", "--listen-trunks", "127.0.0.1:7001"},
-		"names of either": {
+		"current names": {"--initial-orders", "orders.json", "--clock-offset", "40m", "--listen-transport", "127.0.0.1:7001"},
+		"former names":  {"--standing", "orders.json", "--ahead", "40m", "--listen-trunks", "127.0.0.1:7001"},
+		"current names take precedence": {
 			"--initial-orders", "orders.json", "--standing", "former.json", "--ahead", "40m",
 			"--listen-transport", "127.0.0.1:7001",
 		},
--- a/internal/mesh/daemon/settings_file.go
+++ b/internal/mesh/daemon/settings_file.go
@@ -10,14 +10,14 @@
 	"cranegrade/internal/mesh/settings"
 )
 
-// settingsFile is the settings file with the text and settings that were last read. It belongs to one goroutine.
+// settingsFile is the settings file, with the text that was last read and the settings at startup. It is not safe for concurrent use.
 type settingsFile struct {
 	path    string
 	text    []byte
 	current settings.Settings
 }
 
-// openSettings reads the file that the options or the environment name, and applies the options that override it.
+// openSettings reads the settings file, whose path is in the options or the environment, and applies the options that override settings.
 func openSettings(options Options) (*settingsFile, error) {
 	file := &settingsFile{path: options.Settings}
 	if file.path == "" {
@@ -39,7 +39,7 @@
 	return file, nil
 }
 
-// reload passes the settings to the role if the file has changed. If it can't be read or is invalid, the role keeps its settings.
+// reload passes the settings to the role if the file has changed. If the file can't be read or is invalid, the role keeps its settings.
 func (f *settingsFile) reload(role Role, log zerolog.Logger) {
 	changed, text, err := readSettings(f.path)
 	if bytes.Equal(text, f.text) {
@@ -53,7 +53,7 @@
 	role.Reload(changed)
 }
 
-// readSettings reads and checks a file. It returns the text also if the settings in it are invalid.
+// readSettings reads and validates a settings file. It returns the text even if the settings in it are invalid.
 func readSettings(path string) (settings.Settings, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
