--- a/internal/mesh/transport/accept.go
+++ b/internal/mesh/transport/accept.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// acceptRetryInterval is the pause after a failed accept.
+// acceptRetryInterval is the time before an accept is retried after a failure.
 const acceptRetryInterval = 20 * time.Millisecond
 
-// AcceptEach accepts connections until stopped is closed, and calls serve with each on a goroutine of its own, which ends with serve.
-// After a failed accept, for instance for lack of a file descriptor, it retries. It only returns once the listener is closed as well as
-// stopped.
+// AcceptEach accepts connections and calls serve for each on a new goroutine. If an accept fails, for example because the process has no
+// free file descriptor, it retries. It returns after both stopped and the listener are closed.
 func AcceptEach(listener net.Listener, stopped <-chan struct{}, serve func(net.Conn)) {
 	for {
 		accepted, err := listener.Accept()
--- a/internal/mesh/transport/accept_test.go
+++ b/internal/mesh/transport/accept_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// failingListener fails the first accept, as for lack of a file descriptor.
+// failingListener fails the first accept, as when the process has no free file descriptor.
 type failingListener struct {
 	net.Listener
 	failed bool
@@ -23,7 +23,7 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptEach shows that each connection is served although an accept has failed, and that the loop ends with the listener.
+// AcceptEach serves all connections after a failed accept, and returns when it is stopped and the listener is closed.
 func TestAcceptEach(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -9,8 +9,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Calls holds the calls of a process that wait for their reply, over all its connections. The zero value is ready to use. It may be
-// used from any goroutine.
+// Calls matches replies to the pending calls of a process, on all its connections. The zero value is ready to use. It is safe for
+// concurrent use.
 type Calls struct {
 	mu      sync.Mutex // guards lastID and pending
 	lastID  uint64
@@ -20,11 +20,11 @@
 // pendingCall is a call that waits for its reply.
 type pendingCall struct {
 	conn  *Conn
-	reply chan *wire.CallReplyT // holds one reply, so that Deliver never waits
+	reply chan *wire.CallReplyT // buffers one reply, so that Deliver never blocks
 }
 
-// Call makes a call of one of the kinds of package codec, and waits for its reply until ctx or the connection ends. The error is
-// ErrClosed, ErrQueueFull or the context's; the call may have been carried out all the same. The goroutine that receives on conn has to
+// Call sends a call, whose kind is defined in package codec, and waits for the reply until ctx is done or the connection is closed. The
+// error is ErrClosed, ErrQueueFull or that of ctx; the peer may have executed the call even so. The goroutine that receives on conn has to
 // pass replies to Deliver.
 func (c *Calls) Call(ctx context.Context, conn *Conn, kind byte, body []byte) (*wire.CallReplyT, error) {
 	call := &pendingCall{conn: conn, reply: make(chan *wire.CallReplyT, 1)}
@@ -43,7 +43,7 @@
 	}
 }
 
-// add adds a call under a new id.
+// add registers a call under a new ID.
 func (c *Calls) add(call *pendingCall) (id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,15 +55,15 @@
 	return c.lastID
 }
 
-// remove forgets a call that has ended.
+// remove removes a call that no longer waits.
 func (c *Calls) remove(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-// Deliver passes a reply to the call that waits for it. A reply that no call waits for, or that comes by another connection than the
-// call was sent on, is dropped.
+// Deliver passes a reply to the call that waits for it. It drops a reply if no call waits for it, or if it arrives on a connection other
+// than the one on which the call was sent.
 func (c *Calls) Deliver(conn *Conn, reply *wire.CallReplyT) {
 	c.mu.Lock()
 	call := c.pending[reply.Id]
--- a/internal/mesh/transport/client.go
+++ b/internal/mesh/transport/client.go
@@ -12,20 +12,21 @@
 
 // Errors of calls by a Client.
 const (
-	// ErrNoReply says that the process could not be reached, or did not reply in time. It may have carried out the call all the same.
+	// ErrNoReply means that the process could not be reached, or did not reply in time. It may have executed the call even so.
 	ErrNoReply = errors.ConstError("no reply")
-	// ErrRejected says that the status of the reply is not http.StatusOK. Its text holds the status and the reason.
+	// ErrRejected means that the status of the reply is not http.StatusOK. The error text includes the status and the reason.
 	ErrRejected = errors.ConstError("the call was rejected")
 )
 
-// Client is a connection to one process that is used for calls only, as by an operator's tool. It may be used from any goroutine.
+// Client is a connection that is used only for calls to a process, for example by an operator's tool. It is safe for concurrent use.
 type Client struct {
 	conn  *Conn
 	calls Calls
 }
 
-// DialClient connects to the process at an address. The context bounds the dial only. onMessage is called with every message that is not a
-// reply, on the client's own goroutine, which ends with the connection; if it is nil such messages are dropped. The error is ErrNoReply.
+// DialClient connects to the process at addr, and introduces itself as name. ctx applies to the dial only. onMessage is called with every
+// message that is not a reply, on the client's receiving goroutine, which ends when the connection is closed; if onMessage is nil, such
+// messages are dropped. The error is ErrNoReply.
 func DialClient(ctx context.Context, addr, name string, onMessage func(codec.Message)) (*Client, error) {
 	conn, err := Dial(ctx, addr, &wire.HelloT{Name: name}, nil)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return client, nil
 }
 
-// receive delivers replies and passes on messages until the connection ends.
+// receive delivers replies and passes all other messages to onMessage until the connection is closed.
 func (c *Client) receive(onMessage func(codec.Message)) {
 	for {
 		m, err := c.conn.Receive()
@@ -51,13 +52,13 @@
 	}
 }
 
-// Close closes the connection. It does not wait for a call of onMessage, from which it may be called.
+// Close closes the connection. It does not wait for onMessage to return, and may be called by it.
 func (c *Client) Close() { c.conn.Close(nil) }
 
-// Done returns a channel that is closed with the connection.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Client) Done() <-chan struct{} { return c.conn.Done() }
 
-// Call makes a call of one of the kinds of package codec, and returns the body of its reply. The error is ErrNoReply or ErrRejected.
+// Call makes a call, whose kind is defined in package codec, and returns the body of the reply. The error is ErrNoReply or ErrRejected.
 func (c *Client) Call(ctx context.Context, kind byte, body []byte) ([]byte, error) {
 	reply, err := c.calls.Call(ctx, c.conn, kind, body)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return reply.Body, nil
 }
 
-// Status calls for the status of the process.
+// Status requests the status of the process.
 func (c *Client) Status(ctx context.Context) (*wire.StatusT, error) {
 	body, err := c.Call(ctx, codec.CallStatus, nil)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return status, errors.Annotatef(err, "decode the status of %s", c.conn.RemoteAddr())
 }
 
-// CallOnce connects to a process, makes one call, and closes the connection. Its errors are those of DialClient and Client.Call.
+// CallOnce connects to a process, makes one call, and closes the connection. The error is ErrNoReply or ErrRejected.
 func CallOnce(ctx context.Context, addr, name string, kind byte, body []byte) ([]byte, error) {
 	client, err := DialClient(ctx, addr, name, nil)
 	if err != nil {
--- a/internal/mesh/transport/codec/compat_test.go
+++ b/internal/mesh/transport/codec/compat_test.go
@@ -14,17 +14,17 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// recordMissing has the compatibility tests write the encodings that testdata lacks, as for a table that is new. It never
-// replaces one: those that are there were written by earlier builds, with which this one has to talk.
+// recordMissing makes the compatibility tests write encodings that are missing in testdata, for example of a new table. It never
+// overwrites existing ones: they were recorded by earlier builds, with which this build must be compatible.
 var recordMissing = flag.Bool("record-missing", false, "write the recorded encodings that testdata/frames lacks")
 
-// encodingCase is one message or table with a value in each of its fields.
+// encodingCase is a message or table in which every field is set.
 type encodingCase struct {
 	file  string
 	value any
 }
 
-// Values that stand within several tables.
+// Values that several tables contain.
 var (
 	sampleFields   = []*wire.HeaderFieldT{{Name: "X-Own", Value: "one"}, {Name: "Accept", Value: "*/*"}}
 	sampleMembers  = []*wire.MemberT{{Id: 11, Addr: "10.0.0.1:7380"}, {Id: 22, Addr: "10.0.0.2:7380"}}
@@ -65,7 +65,7 @@
 	}
 )
 
-// unionCases are the members of the union of a frame, in their order: the place of each is its number on the wire.
+// unionCases are the members of the union Payload in the order of their numbers on the wire, starting at 1.
 var unionCases = []encodingCase{
 	{"01-hello", &wire.HelloT{
 		TransportVersion: 2, Name: "side-1", Addr: "10.1.0.1:7000", Zone: "zone-1",
@@ -122,7 +122,7 @@
 	}},
 }
 
-// tableCases are the tables that stand by themselves: on disk, or as the body of a call or its reply.
+// tableCases are the tables that are encoded without a frame: on disk, or as the body of a call or reply.
 var tableCases = []encodingCase{
 	{"entry", sampleEntries[0]},
 	{"snapshot", sampleSnapshot},
@@ -172,7 +172,7 @@
 	}},
 }
 
-// tableReaders read the tables of tableCases, by the file's name.
+// tableReaders are the functions that decode the tables of tableCases, by file name.
 var tableReaders = map[string]func([]byte) any{
 	"entry":              func(p []byte) any { return wire.GetRootAsEntry(p, 0).UnPack() },
 	"snapshot":           func(p []byte) any { return wire.GetRootAsSnapshot(p, 0).UnPack() },
@@ -188,21 +188,22 @@
 	"status":             func(p []byte) any { return wire.GetRootAsStatus(p, 0).UnPack() },
 }
 
-// recordedEncoding is what an earlier build made of a case.
-func recordedEncoding(t *testing.T, file string, made []byte) []byte {
+// recordedEncoding returns the encoding of a case by an earlier build. If it is missing and recordMissing is set, it records encoded.
+func recordedEncoding(t *testing.T, file string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "frames", file+".bin")
 	recorded, err := os.ReadFile(path)
 	if os.IsNotExist(err) && *recordMissing {
 		assert.NilError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		assert.NilError(t, os.WriteFile(path, made, 0o644))
-		return made
+		assert.NilError(t, os.WriteFile(path, encoded, 0o644))
+		return encoded
 	}
 	assert.NilError(t, err)
 	return recorded
 }
 
-// requireAllSet fails where a field of a value, or of one within it, is zero: its place in the encoding would not be checked.
+// requireAllSet fails the test if a field of a value, or of a nested value, is zero, because its position in the encoding would not be
+// tested.
 func requireAllSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -225,16 +226,16 @@
 	}
 }
 
-// Every message is encoded to the bytes that earlier builds made of it, and those are decoded to the same values: names of
-// tables and fields may change, their places may not.
+// Every message is encoded to the same bytes as by earlier builds, and these are decoded to the same values. Names of tables and fields
+// may change, but not their positions in the schema.
 func TestFramesOfEarlierBuild(t *testing.T) {
 	assert.Equal(t, len(unionCases), len(wire.EnumNamesPayload)-1, "a case for each member of the union")
 	for i, c := range unionCases {
 		t.Run(c.file, func(t *testing.T) {
 			requireAllSet(t, c.file, reflect.ValueOf(c.value))
-			made := Encode(c.value)
-			recorded := recordedEncoding(t, c.file, made)
-			assert.Assert(t, bytes.Equal(made, recorded), "encoded to\n%x\nin place of\n%x", made, recorded)
+			encoded := Encode(c.value)
+			recorded := recordedEncoding(t, c.file, encoded)
+			assert.Assert(t, bytes.Equal(encoded, recorded), "encoded to\n%x\ninstead of\n%x", encoded, recorded)
 			m, err := Decode(recorded[4:])
 			assert.NilError(t, err)
 			assert.Equal(t, int(m.Type), i+1)
@@ -243,15 +244,15 @@
 	}
 }
 
-// The same of the tables that stand by themselves, on disk among others.
+// The same holds for tables that are encoded without a frame, for example on disk.
 func TestTablesOfEarlierBuild(t *testing.T) {
 	assert.Equal(t, len(tableCases), len(tableReaders))
 	for _, c := range tableCases {
 		t.Run(c.file, func(t *testing.T) {
 			requireAllSet(t, c.file, reflect.ValueOf(c.value))
-			made := EncodeTable(c.value.(Packer))
-			recorded := recordedEncoding(t, "table-"+c.file, made)
-			assert.Assert(t, bytes.Equal(made, recorded), "encoded to\n%x\nin place of\n%x", made, recorded)
+			encoded := EncodeTable(c.value.(Packer))
+			recorded := recordedEncoding(t, "table-"+c.file, encoded)
+			assert.Assert(t, bytes.Equal(encoded, recorded), "encoded to\n%x\ninstead of\n%x", encoded, recorded)
 			got, err := DecodeTable(recorded, tableReaders[c.file])
 			assert.NilError(t, err)
 			assert.DeepEqual(t, got, c.value)
@@ -259,15 +260,15 @@
 	}
 }
 
-// A packed header has the bytes that earlier builds made: names that are known by number keep their numbers.
+// A packed header has the same bytes as in earlier builds: names that are encoded as numbers keep their numbers.
 func TestPackedHeaderOfEarlierBuild(t *testing.T) {
-	var made []byte
+	var packed []byte
 	for i, name := range knownHeaderFields {
-		made = AppendHeaderField(made, name, fmt.Sprint("value ", i))
+		packed = AppendHeaderField(packed, name, fmt.Sprint("value ", i))
 	}
-	made = AppendHeaderField(made, "X-Own", "")
-	recorded := recordedEncoding(t, "packed-header", made)
-	assert.Assert(t, bytes.Equal(made, recorded), "packed to\n%x\nin place of\n%x", made, recorded)
+	packed = AppendHeaderField(packed, "X-Own", "")
+	recorded := recordedEncoding(t, "packed-header", packed)
+	assert.Assert(t, bytes.Equal(packed, recorded), "packed to\n%x\ninstead of\n%x", packed, recorded)
 	fields, err := UnpackHeader(recorded)
 	assert.NilError(t, err)
 	assert.Equal(t, len(fields), len(knownHeaderFields)+1)
@@ -277,7 +278,7 @@
 	assert.DeepEqual(t, fields[len(knownHeaderFields)], &wire.HeaderFieldT{Name: "X-Own"})
 }
 
-// The numbers of the kinds of calls are those of earlier builds.
+// Kinds of calls keep the numbers that they have in earlier builds.
 func TestCallKindsOfEarlierBuild(t *testing.T) {
 	kinds := []byte{
 		CallModify, CallReadIndex, CallItems, CallLeaseKeys, CallStoredResponse, CallStatus, CallLogRing,
--- a/internal/mesh/transport/codec/frame.go
+++ b/internal/mesh/transport/codec/frame.go
@@ -1,9 +1,9 @@
-// Package codec encodes the messages between the mesh's own processes: frames of FlatBuffers tables, packed header fields, and the
-// kinds of calls. Package transport carries the frames.
+// Package codec encodes and decodes messages between the processes of the mesh: frames of FlatBuffers tables, packed header fields, and
+// the kinds of calls. Package transport sends and receives the frames.
 //
-// It is pure, and its functions may be called from any goroutine. The encoding must never change, because processes of other versions
-// and the disks of members hold it; testdata/frames holds recorded frames. The schema is transport/wire.fbs; flatbuffers.dev,
-// "Internals", describes the encoding of FlatBuffers.
+// Its functions have no side effects and are safe for concurrent use. The encoding must never change, because processes of other versions
+// use it and members store it on disk; testdata/frames has recorded frames. The schema is transport/wire.fbs; the encoding is described
+// at flatbuffers.dev, "Internals".
 package codec
 
 import (
@@ -17,28 +17,28 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// LengthBytes is the size of a frame's length prefix, a little-endian integer that says how many bytes follow.
+// LengthBytes is the size of a frame's length prefix, a little-endian integer with the number of bytes that follow.
 const LengthBytes = 4
 
 // Sizes of buffers, in bytes.
 const (
 	initialFrameBytes = 1 << 10
 	initialTableBytes = 256
-	maxPooledBytes    = 64 << 10 // larger buffers are not kept for the next frame
-	minTableBytes     = 8        // of the shortest table
+	maxPooledBytes    = 64 << 10 // larger buffers are not returned to builderPool
+	minTableBytes     = 8        // size of the shortest table
 )
 
-// ErrMalformedFrame says that bytes are not a table of the schema. The connection that they came by has to be closed.
+// ErrMalformedFrame means that bytes are not a table of the schema. The connection on which they were received has to be closed.
 const ErrMalformedFrame = errors.ConstError("malformed frame")
 
-// Message is a member of the union Payload of a frame. Value is a pointer to the generated object of its type. For a type that only later
-// versions know, Type is wire.PayloadNONE and Value nil.
+// Message is the Payload of a frame, a FlatBuffers union. Value is a pointer to the generated object of the type. If only later versions
+// know the type, Type is wire.PayloadNONE and Value is nil.
 type Message struct {
 	Type  wire.Payload
 	Value any
 }
 
-// NewMessage returns the message with a generated object. It panics if the object is not a member of the union.
+// NewMessage returns the message for a generated object. It panics if the object's type is not a member of the union.
 func NewMessage(v any) Message {
 	switch v.(type) {
 	case *wire.HelloT:
@@ -75,10 +75,10 @@
 	panic(fmt.Sprintf("codec: %T is no message", v))
 }
 
-// builderPool holds builders whose buffers are used again for the next frame.
+// builderPool reuses builders, with their buffers, for the next frame.
 var builderPool = sync.Pool{New: func() any { return flatbuffers.NewBuilder(initialFrameBytes) }}
 
-// Encode returns the frame of a message: the length prefix and the table Frame. v has one of the types of NewMessage.
+// Encode returns the frame of a message: the length prefix and the table Frame. v must be of a type that NewMessage accepts.
 func Encode(v any) []byte {
 	m := NewMessage(v)
 	b := builderPool.Get().(*flatbuffers.Builder)
@@ -106,12 +106,12 @@
 	})
 }
 
-// Packer is any generated object.
+// Packer is implemented by every generated object.
 type Packer interface {
 	Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT
 }
 
-// EncodeTable encodes a table without a frame, for the body of a call or a record on disk.
+// EncodeTable encodes a table without a frame, such as the body of a call or a record on disk.
 func EncodeTable(t Packer) []byte {
 	b := flatbuffers.NewBuilder(initialTableBytes)
 	b.Finish(t.Pack(b))
@@ -122,7 +122,7 @@
 // wire.GetRootAsItems(p, 0).UnPack(); its result may share memory with p. The error is ErrMalformedFrame.
 func DecodeTable[T any](p []byte, read func([]byte) T) (v T, err error) {
 	defer func() {
-		if recover() != nil { // generated readers panic at an offset outside the bytes
+		if recover() != nil { // generated readers panic if an offset is out of range
 			err = ErrMalformedFrame
 		}
 	}()
--- a/internal/mesh/transport/codec/frame_test.go
+++ b/internal/mesh/transport/codec/frame_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// A message of each type keeps its type, also with most of its fields unset.
+// Encoding and decoding preserves the type of a message, even if most fields are unset.
 func TestEveryMessageRoundTrips(t *testing.T) {
 	for _, v := range []any{
 		&wire.HelloT{Name: "n", Incarnation: 3},
@@ -32,7 +32,7 @@
 	}
 }
 
-// Whatever comes is read, or is an error of its type.
+// Decode never panics: arbitrary bytes are either decoded or rejected with ErrMalformedFrame.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(&wire.RequestT{Id: 1, Method: "GET", HeaderFields: []*wire.HeaderFieldT{{Name: "a"}}})[LengthBytes:])
 	f.Add(Encode(&wire.RaftMessageT{Entries: []*wire.EntryT{{Index: 1}}})[LengthBytes:])
--- a/internal/mesh/transport/codec/header.go
+++ b/internal/mesh/transport/codec/header.go
@@ -8,12 +8,12 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// PackedHeaderVersion is the first transport version that packs headers. A FlatBuffers table for each field would double the size of most
-// fields, and take more processor time than everything else in a frame.
+// PackedHeaderVersion is the first transport version that packs headers. A FlatBuffers table per field would double the size of most
+// fields, and take more CPU time than the rest of the frame.
 const PackedHeaderVersion = 2
 
-// knownHeaderFields is the names of fields that are sent as a number, counted from 1. The order must never change, and names may only be
-// added with a new transport version.
+// knownHeaderFields are the names of fields that are encoded as a number, starting at 1. Their order must never change, and adding a name
+// requires a new transport version.
 var knownHeaderFields = [...]string{
 	"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
 	"Accept-Encoding", "Accept-Language", "Not-Executed", "Retry-After", "Instance-Id", "Cache-Control",
@@ -21,7 +21,7 @@
 	"Cookie", "Set-Cookie", "If-None-Match", "Range", "X-Request-Id", "Traceparent", "Tracestate",
 }
 
-// headerFieldNumbers is the numbers of knownHeaderFields, by name.
+// headerFieldNumbers are the numbers of knownHeaderFields by name.
 var headerFieldNumbers = func() map[string]uint64 {
 	numbers := map[string]uint64{}
 	for i, name := range knownHeaderFields {
@@ -30,11 +30,11 @@
 	return numbers
 }()
 
-// ErrMalformedHeader says that bytes are not a packed header.
+// ErrMalformedHeader means that bytes are not a packed header.
 const ErrMalformedHeader = errors.ConstError("malformed packed header")
 
-// AppendHeaderField appends a field to a packed header: the number of the name, or 0 and the name, then the value. Numbers and the
-// lengths before texts are unsigned varints.
+// AppendHeaderField appends a field to a packed header. The encoding is the number of the name, or 0 and the name if it has no number, then
+// the value. Numbers, and the lengths that precede texts, are unsigned varints.
 func AppendHeaderField(packed []byte, name, value string) []byte {
 	number := headerFieldNumbers[name]
 	packed = binary.AppendUvarint(packed, number)
@@ -44,13 +44,13 @@
 	return appendText(packed, value)
 }
 
-// appendText appends a text behind its length.
+// appendText appends the length of a text and the text.
 func appendText(packed []byte, text string) []byte {
 	packed = binary.AppendUvarint(packed, uint64(len(text)))
 	return append(packed, text...)
 }
 
-// UnpackHeader decodes a packed header. The fields do not share memory with it. The error is ErrMalformedHeader.
+// UnpackHeader decodes a packed header. The fields do not share memory with packed. The error is ErrMalformedHeader.
 func UnpackHeader(packed []byte) (fields []*wire.HeaderFieldT, err error) {
 	for len(packed) > 0 {
 		var f *wire.HeaderFieldT
@@ -62,7 +62,7 @@
 	return fields, nil
 }
 
-// readField decodes the first field of a packed header.
+// readField decodes the first field of packed and returns the remaining bytes.
 func readField(packed []byte) (f *wire.HeaderFieldT, rest []byte, err error) {
 	number, rest, err := readNumber(packed)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return f, rest, nil
 }
 
-// readNumber decodes the number at the beginning of a packed header.
+// readNumber decodes a varint at the beginning of packed and returns the remaining bytes.
 func readNumber(packed []byte) (number uint64, rest []byte, err error) {
 	number, size := binary.Uvarint(packed)
 	if size <= 0 {
@@ -94,7 +94,7 @@
 	return number, packed[size:], nil
 }
 
-// readText decodes the text at the beginning of a packed header.
+// readText decodes a length-prefixed text at the beginning of packed and returns the remaining bytes.
 func readText(packed []byte) (text string, rest []byte, err error) {
 	length, rest, err := readNumber(packed)
 	if err != nil || length > uint64(len(rest)) {
@@ -103,7 +103,8 @@
 	return string(rest[:length]), rest[length:], nil
 }
 
-// PackResponse returns a copy of a response with its header packed. The original is unchanged, since it may be stored.
+// PackResponse returns a copy of a response with its header packed. It does not modify the original, which may be stored. A response
+// without header fields is returned as it is.
 func PackResponse(response *wire.ResponseT) *wire.ResponseT {
 	if len(response.HeaderFields) == 0 {
 		return response
--- a/internal/mesh/transport/codec/header_test.go
+++ b/internal/mesh/transport/codec/header_test.go
@@ -9,8 +9,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Fields come back as they were and in their order, known by number or not. A header that is cut anywhere within a field, or that has
-// an unknown number, is an error and no panic.
+// Packing and unpacking preserves fields and their order, whether or not their names have numbers. A header that is truncated within a
+// field, or has an unknown number, is an error and does not panic.
 func TestPackedHeaderRoundTrips(t *testing.T) {
 	fields := []*wire.HeaderFieldT{
 		{Name: "Attempt-Id", Value: "9c41d07be2a35f68"},
@@ -39,7 +39,7 @@
 	assert.Equal(t, len(headerFieldNumbers), len(knownHeaderFields), "each name once")
 }
 
-// A header that is read is the same after it was packed anew.
+// A header that can be unpacked has the same fields after it is packed and unpacked again.
 func FuzzUnpackHeader(f *testing.F) {
 	f.Add(AppendHeaderField(AppendHeaderField(nil, "Date", "now"), "X", "y"))
 	f.Fuzz(func(t *testing.T, p []byte) {
--- a/internal/mesh/transport/compat_test.go
+++ b/internal/mesh/transport/compat_test.go
@@ -6,12 +6,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// The version that a connection speaks is that of earlier builds.
+// The protocol version is the one that earlier builds announce.
 func TestProtocolVersionOfEarlierBuild(t *testing.T) {
 	assert.Equal(t, ProtocolVersion, 2)
 }
 
-// The names by which frames are counted are read by other builds' tools.
+// The names of message types in traffic counters must not change, since tools of other builds read them.
 func TestMessageTypesOfEarlierBuild(t *testing.T) {
 	assert.DeepEqual(t, messageTypes[:], []string{
 		"none", "hello", "beat", "request", "piece", "answer", "credit", "cancel", "records",
--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -16,32 +16,32 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Conn is one connection. Receive may be called from one goroutine, all other methods from any. Its writer goroutine ends with the
-// connection, so its owner has to close it.
+// Conn is a connection. Receive must be called by one goroutine at a time; all other methods are safe for concurrent use. The owner has to
+// close the connection, which also ends its writer goroutine.
 type Conn struct {
-	// Peer is the hello of the process that dialled. On the dialling side that is the process itself.
+	// Peer is the hello message of the process that dialled; on the dialling side, this is its own hello.
 	Peer *wire.HelloT
 
 	netConn net.Conn
 	reader  *bufio.Reader
 
 	encodeHeartbeat func() []byte
-	alwaysHeartbeat bool          // heartbeats are sent at every tick, since other messages can't replace their content
-	writeTimeout    time.Duration // shorter in tests
+	alwaysHeartbeat bool          // send a heartbeat at every tick, since other messages don't carry its content
+	writeTimeout    time.Duration // the constant writeTimeout, except in tests
 	pending         atomic.Int64  // see AddPending
-	pendingSince    atomic.Int64  // when pending last rose from 0, in Unix nanoseconds
-	lastReceived    atomic.Int64  // Unix nanoseconds of the latest bytes
+	pendingSince    atomic.Int64  // when pending last increased from 0, in Unix nanoseconds
+	lastReceived    atomic.Int64  // when bytes were last received, in Unix nanoseconds
 
-	writeMu     sync.Mutex // held during a write, and to set writeClosed
-	writeClosed bool       // nothing more may be written; guarded by writeMu
+	writeMu     sync.Mutex // locked during a write, and to set writeClosed
+	writeClosed bool       // writing has been shut down; guarded by writeMu
 
 	mu          sync.Mutex // guards queue, queuedBytes and err
 	queue       [][]byte
 	queuedBytes int
-	err         error // why the connection ended, or nil if it has not
+	err         error // why the connection was closed, or nil while it is open
 
 	wake chan struct{} // signals that queue is not empty
-	done chan struct{} // closed with the connection
+	done chan struct{} // closed when the connection is closed
 }
 
 // newConn returns a connection over netConn and starts its writer. heartbeat is as in Dial.
@@ -63,8 +63,9 @@
 	return c
 }
 
-// AddPending adds to the number of replies that this side waits for, or works on for the peer; n is negative once they are done. While
-// there are any, heartbeats are frequent and the peer's time-out is short, so that whoever waits soon finds out that the peer is gone.
+// AddPending adds n to the number of replies that this side waits for or is preparing for the peer; n is negative when they are done.
+// While the number is not 0, heartbeats are frequent and the timeout for a silent peer is short, so that the failure of the peer is
+// detected soon.
 func (c *Conn) AddPending(n int64) {
 	if n > 0 && c.pending.Load() == 0 {
 		c.pendingSince.Store(time.Now().UnixNano())
@@ -75,11 +76,11 @@
 // Pending returns the number of pending replies; see AddPending.
 func (c *Conn) Pending() int64 { return c.pending.Load() }
 
-// Send queues a message of one of the types of codec.NewMessage. It never blocks: a connection whose peer does not read is closed. The
-// error is ErrClosed or ErrQueueFull; nil does not mean that the message arrives.
+// Send queues a message of one of the types that codec.NewMessage accepts. It never blocks: if the peer does not read and the queue is
+// full, it closes the connection. The error is ErrClosed or ErrQueueFull; nil does not guarantee that the message arrives.
 func (c *Conn) Send(message any) error { return c.SendFrame(codec.Encode(message)) }
 
-// SendFrame is Send of a message that codec.Encode has encoded. The frame must not be changed afterwards.
+// SendFrame is like Send for a message already encoded by codec.Encode. The caller must not modify the frame afterwards.
 func (c *Conn) SendFrame(frame []byte) error {
 	c.mu.Lock()
 	if c.err != nil {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// Receive waits for the next message, and skips those of types that this build does not know. On an error it closes the connection.
+// Receive waits for the next message. It skips messages of types that this build does not know. On an error it closes the connection.
 func (c *Conn) Receive() (codec.Message, error) {
 	for {
 		m, err := c.receiveFrame()
@@ -110,7 +111,7 @@
 			c.Close(err)
 			return codec.Message{}, err
 		}
-		if m.Type != wire.PayloadNONE { // which stands for a type of a later version
+		if m.Type != wire.PayloadNONE { // PayloadNONE is a type of a later version
 			return m, nil
 		}
 	}
@@ -138,8 +139,8 @@
 	return m, nil
 }
 
-// receiveTracker reads from a connection and records when bytes arrive, so that a peer that is sending a long frame over a slow link
-// does not count as silent.
+// receiveTracker reads from a connection and records when bytes arrive, so that a peer does not count as silent while it sends a long
+// frame over a slow link.
 type receiveTracker struct{ conn *Conn }
 
 // Read implements io.Reader.
@@ -151,9 +152,9 @@
 	return n, err
 }
 
-// Shutdown closes the connection once everything that was sent is written, and the peer has read it and closed its own end. The owner
-// has to go on receiving meanwhile. A process that simply exits resets the connection if there is unread data, and the peer may then
-// lose what was sent last. When ctx ends the connection is closed at once.
+// Shutdown writes everything that is queued, shuts down writing, and waits until the connection is closed, as it is once the peer has read
+// everything and closes its end. The owner has to keep receiving in the meantime. A process that exits without Shutdown resets the
+// connection if it has unread data, and the peer may then lose the last frames. When ctx is done the connection is closed immediately.
 func (c *Conn) Shutdown(ctx context.Context) {
 	const pollInterval = 5 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
@@ -163,8 +164,8 @@
 		<-ticker.C
 	}
 	c.writeClosed = true
-	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // it only fails on a connection that has ended
+	if closer, ok := c.netConn.(interface{ CloseWrite() error }); ok {
+		_ = closer.CloseWrite() // fails only if the connection is closed already
 	}
 	c.writeMu.Unlock()
 	select {
@@ -174,8 +175,8 @@
 	}
 }
 
-// Close closes the connection at once. Err returns reason from then on, or ErrClosed if reason is nil, unless the connection was closed
-// before.
+// Close closes the connection immediately. Unless the connection was closed before, Err then returns reason, or ErrClosed if reason is
+// nil.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,17 +197,17 @@
 // RemoteAddr returns the peer's host and port.
 func (c *Conn) RemoteAddr() string { return c.netConn.RemoteAddr().String() }
 
-// Done returns a channel that is closed with the connection.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err returns why the connection ended, or nil if it has not.
+// Err returns why the connection was closed, or nil while it is open.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Flushed reports whether the queue is empty. The last frames may not have been passed to the socket yet.
+// Flushed reports whether the queue is empty. The last frames may still be on their way to the socket.
 func (c *Conn) Flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/transport/conn_test.go
+++ b/internal/mesh/transport/conn_test.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// listen accepts connections, which the channel gives, until the test ends.
+// listen accepts connections until the test ends, and sends them to the channel accepted.
 func listen(t *testing.T) (addr string, accepted <-chan *Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	return conn
 }
 
-// receiveAll receives until the connection ends, and passes replies on.
+// receiveAll receives until the connection is closed, and delivers replies to calls.
 func receiveAll(conn *Conn, calls *Calls) {
 	for {
 		m, err := conn.Receive()
@@ -55,7 +55,7 @@
 	}
 }
 
-// receiveMessage is Receive past the heartbeats, which come whenever a machine is slow.
+// receiveMessage is like Receive, but skips heartbeats, which are sent if the test runs slowly.
 func receiveMessage(conn *Conn) (codec.Message, error) {
 	for {
 		m, err := conn.Receive()
@@ -65,8 +65,8 @@
 	}
 }
 
-// A call only accepts a reply from its own connection, and fails when that ends.
-func TestReplyIsTakenFromItsConnectionOnly(t *testing.T) {
+// A call accepts a reply only from the connection on which it was sent, and fails when that is closed.
+func TestReplyFromOtherConnectionIsDropped(t *testing.T) {
 	addr, accepted := listen(t)
 	var calls Calls
 	one := dial(t, addr, "test")
@@ -100,19 +100,19 @@
 	assert.Assert(t, errors.Is(<-failed, ErrClosed))
 }
 
-// The peer reads everything that was sent before Shutdown, however slowly it reads and whatever it still sends itself. Shutdown returns
-// once it has, or when its context ends.
-func TestShutdownDeliversWhatWasSent(t *testing.T) {
+// Shutdown delivers everything that was sent before, even if the peer reads slowly and keeps sending. It returns once the peer has read
+// everything, or when its context is cancelled.
+func TestShutdownDeliversSentMessages(t *testing.T) {
 	addr, accepted := listen(t)
 	reader := dial(t, addr, "reader")
 	conn := <-accepted
-	go receiveAll(conn, &Calls{}) // it goes on receiving, as a sidecar does
+	go receiveAll(conn, &Calls{}) // keeps receiving during Shutdown, as a sidecar does
 	const chunks = 400
 	var frames [chunks][]byte
-	for n := range frames { // encoded before the first is sent: the peer, which reads none yet, has the time of a write only
+	for n := range frames { // encoded beforehand: until the peer reads, a blocked write times out after writeTimeout
 		frames[n] = codec.Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, 64<<10)})
 	}
-	for _, frame := range frames { // far more than the sockets hold
+	for _, frame := range frames { // more than the socket buffers can store
 		assert.NilError(t, conn.SendFrame(frame))
 	}
 	finished := make(chan struct{})
@@ -121,7 +121,7 @@
 		close(finished)
 	}()
 	for n := range chunks {
-		_ = reader.Send(&wire.WindowUpdateT{Id: uint64(n)}) // on its way as the connection ends
+		_ = reader.Send(&wire.WindowUpdateT{Id: uint64(n)}) // in transit while the connection shuts down
 		m, err := receiveMessage(reader)
 		assert.NilError(t, err, "chunk %d", n)
 		assert.Equal(t, m.Value.(*wire.BodyChunkT).Id, uint64(n))
@@ -130,7 +130,7 @@
 	assert.Assert(t, err != nil)
 	<-finished
 
-	// A peer that never reads is not waited for beyond the context.
+	// Shutdown stops waiting for a peer that never reads when its context is cancelled.
 	dial(t, addr, "silent")
 	conn = <-accepted
 	go receiveAll(conn, &Calls{})
@@ -145,17 +145,17 @@
 	assert.Assert(t, conn.Err() != nil)
 }
 
-// A link that is slow and moves is not silent, however much waits to be written: the time for a write counts for each part. One that
-// takes nothing ends the connection.
-func TestSlowLinkIsNotSilence(t *testing.T) {
+// A slow link that makes progress does not time out, however much is queued, because each part of up to maxWriteBytes has its own write
+// deadline. A link without any progress closes the connection.
+func TestSlowLinkDoesNotTimeOut(t *testing.T) {
 	const timeout, frames, frameBytes = 500 * time.Millisecond, 16, 256 << 10
-	var encoded [frames][]byte // before the first is sent: the peer, which reads none yet, has the time of a write only
+	var encoded [frames][]byte // encoded beforehand: until the peer reads, a blocked write times out
 	for n := range encoded {
 		encoded[n] = codec.Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, frameBytes)})
 	}
 	for _, c := range []struct {
-		name  string
-		moves bool
+		name       string
+		progresses bool
 	}{{"slow", true}, {"stuck", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			netConn, peer := net.Pipe()
@@ -164,17 +164,17 @@
 			conn.writeMu.Lock()
 			conn.writeTimeout = timeout
 			conn.writeMu.Unlock()
-			began := time.Now()
+			start := time.Now()
 			for n := range frames {
 				err := conn.SendFrame(encoded[n])
-				assert.Assert(t, err == nil || !c.moves, "%v", err)
+				assert.Assert(t, err == nil || !c.progresses, "%v", err)
 			}
-			if !c.moves {
+			if !c.progresses {
 				<-conn.Done()
 				assert.NilError(t, peer.Close())
 				return
 			}
-			// Slower than all of it in the time for one write, and each part well within it.
+			// All parts together take twice the timeout, and each part takes well below it.
 			pause := 2 * timeout / (frames * frameBytes / maxWriteBytes)
 			received := 0
 			for buf := make([]byte, maxWriteBytes); received < frames*frameBytes; time.Sleep(pause) {
@@ -182,13 +182,13 @@
 				assert.NilError(t, err, "after %d bytes", received)
 				received += n
 			}
-			assert.Assert(t, time.Since(began) > timeout)
+			assert.Assert(t, time.Since(start) > timeout)
 			assert.NilError(t, conn.Err())
 		})
 	}
 }
 
-// Each part of a frame counts as received: whoever waits does not take a long frame for silence.
+// Each part of a frame updates LastReceived, so that a peer that sends a long frame does not count as silent.
 func TestPartialFrameCountsAsReceived(t *testing.T) {
 	netConn, peer := net.Pipe()
 	conn := newConn(netConn, nil)
@@ -202,12 +202,12 @@
 	frame := codec.Encode(&wire.BodyChunkT{Id: 1, Data: make([]byte, 100<<10)})
 	for len(frame) > 0 {
 		n := min(len(frame), 30<<10)
-		_, err := peer.Write(frame[:n]) // returns once that is read
+		_, err := peer.Write(frame[:n]) // returns once the connection has read it
 		assert.NilError(t, err)
 		if frame = frame[n:]; len(frame) == 0 {
 			assert.NilError(t, <-received)
 		}
-		for !conn.LastReceived().After(before) { // the reader may be about to record it
+		for !conn.LastReceived().After(before) { // the reader records the time after the read
 			time.Sleep(time.Millisecond)
 		}
 		before = conn.LastReceived()
--- a/internal/mesh/transport/traffic.go
+++ b/internal/mesh/transport/traffic.go
@@ -7,17 +7,17 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// trafficCounters count frames and their bytes, by message type. They may be used from any goroutine.
+// trafficCounters count frames and bytes by message type. They are safe for concurrent use.
 type trafficCounters [len(messageTypes)]struct {
 	frames atomic.Int64
-	bytes  atomic.Int64 // with length prefixes
+	bytes  atomic.Int64 // including length prefixes
 }
 
-// sentTraffic counts what this process has sent on all its connections, receivedTraffic what it has received.
+// sentTraffic counts the frames that this process has sent on all its connections, and receivedTraffic those that it has received.
 var sentTraffic, receivedTraffic trafficCounters
 
-// messageTypes is the names of the message types, by their numbers on the wire. They are sent in a Status and read by tools of other
-// versions, so they keep the names that the types had in the first release.
+// messageTypes are the names of the message types, indexed by their numbers on the wire. They are part of a Status, which tools of other
+// versions read, so they keep the names from the first release.
 var messageTypes = [...]string{
 	wire.PayloadNONE:                  "none",
 	wire.PayloadHello:                 "hello",
@@ -37,19 +37,19 @@
 	wire.PayloadActivePolicy:          "bound",
 }
 
-// SentTraffic returns what this process has sent on all its connections since it started, by message type. Types of which nothing was sent
-// are left out.
+// SentTraffic returns the numbers of frames and bytes that this process has sent on all its connections since it started, by message type.
+// Types without traffic are omitted.
 func SentTraffic() []*wire.TrafficCounterT { return sentTraffic.snapshot() }
 
-// ReceivedTraffic returns what this process has received, in the same form.
+// ReceivedTraffic returns the same for received frames.
 func ReceivedTraffic() []*wire.TrafficCounterT { return receivedTraffic.snapshot() }
 
-// countSent counts a frame that is about to be sent.
+// countSent counts a frame in sentTraffic.
 func countSent(frame []byte) {
 	sentTraffic.add(wire.GetRootAsFrame(frame, codec.LengthBytes).PayloadType(), len(frame))
 }
 
-// add counts one frame. Types that this build does not know are left out.
+// add counts one frame. Types that this build does not know are not counted.
 func (c *trafficCounters) add(messageType wire.Payload, bytes int) {
 	if int(messageType) < len(c) {
 		c[messageType].frames.Add(1)
@@ -57,7 +57,7 @@
 	}
 }
 
-// snapshot returns the counters that are not 0, in the order of the types' numbers.
+// snapshot returns the counters that are not 0, ordered by the numbers of the types.
 func (c *trafficCounters) snapshot() (counters []*wire.TrafficCounterT) {
 	for number, name := range messageTypes {
 		counter := &wire.TrafficCounterT{
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// writeLoop writes what is queued, and heartbeats when they are due. It ends with the connection, which it closes when the peer is
-// silent for too long.
+// writeLoop writes queued frames, and heartbeats when they are due. It closes the connection if the peer is silent for too long, and
+// returns when the connection is closed.
 func (c *Conn) writeLoop() {
 	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
-	idleTicks := 0 // ticks in a row in which nothing was written
+	idleTicks := 0 // consecutive ticks without a write
 	for {
 		var heartbeat []byte
 		select {
@@ -41,8 +41,8 @@
 	}
 }
 
-// isPeerSilent reports whether the peer has been silent for too long at a time, in Unix nanoseconds. idle says that nothing is pending. The
-// short time-out counts from when something became pending, since the peer sent few heartbeats until then.
+// isPeerSilent reports whether the peer has been silent for too long at now, in Unix nanoseconds. idle is true if no replies are pending.
+// The short timeout starts when replies became pending, since the peer sent heartbeats less often until then.
 func (c *Conn) isPeerSilent(now int64, idle bool) bool {
 	received := c.lastReceived.Load()
 	if now-received > int64(IdleFactor*PeerTimeout) {
@@ -51,10 +51,11 @@
 	return !idle && now-max(received, c.pendingSince.Load()) > int64(PeerTimeout)
 }
 
-// busyTicks is how many ticks without a write a heartbeat waits for while something is pending: the first may come just after a write.
-const busyTicks = 2
+// busyIdleTicks is the number of ticks without a write after which a heartbeat is sent while replies are pending. It is not 1, because the
+// first tick may follow immediately after a write.
+const busyIdleTicks = 2
 
-// isHeartbeatDue reports whether a heartbeat has to be sent after a number of ticks in which nothing was written.
+// isHeartbeatDue reports whether a heartbeat has to be sent after idleTicks consecutive ticks without a write.
 func (c *Conn) isHeartbeatDue(idleTicks int, idle bool) bool {
 	switch {
 	case c.alwaysHeartbeat:
@@ -62,10 +63,10 @@
 	case idle:
 		return idleTicks >= IdleFactor
 	}
-	return idleTicks >= busyTicks
+	return idleTicks >= busyIdleTicks
 }
 
-// writeQueued writes a heartbeat, if there is one, and all that is queued.
+// writeQueued writes heartbeat, unless it is nil, and all queued frames.
 func (c *Conn) writeQueued(heartbeat []byte) (wrote bool, err error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -86,12 +87,12 @@
 	return true, c.writeAll(frames)
 }
 
-// writeAll writes frames in parts of up to maxWriteBytes, each with its own deadline.
+// writeAll writes frames in parts of up to maxWriteBytes, each with its own write deadline.
 func (c *Conn) writeAll(frames net.Buffers) error {
 	for len(frames) > 0 {
 		part, rest := splitWrite(frames)
 		frames = rest
-		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // if it fails, so does the write
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // if it fails, the write fails too
 		var err error
 		if len(part) == 1 {
 			_, err = c.netConn.Write(part[0])
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// splitWrite splits off the part to write next. It changes frames.
+// splitWrite splits off the next part to write, of up to maxWriteBytes. It modifies frames.
 func splitWrite(frames net.Buffers) (part, rest net.Buffers) {
 	size := 0
 	for n, frame := range frames {
