--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -70,7 +70,7 @@
 // ListenAddresses are the listen addresses, as host:port, by kind of caller. An address is empty if the role does not serve that kind.
 type ListenAddresses struct {
 	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`      // sidecar: requests of other sidecars
-	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // sidecar: requests of local callers
+	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // sidecar: requests of callers
 	Readiness    string `json:"Readiness" validate:"omitempty,hostname_port"`    // sidecar: readiness checks
 	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"` // API calls of operators and servers
 }
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -10,7 +10,7 @@
 func (c *Conn) writeLoop() {
 	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
-	idleTicks := 0 // consecutive ticks without a write
+	ticksWithoutWrite := 0 // consecutive ticks without a write
 	for {
 		var heartbeat []byte
 		select {
@@ -23,8 +23,8 @@
 				c.Close(ErrPeerSilent)
 				return
 			}
-			idleTicks++
-			if !c.isHeartbeatDue(idleTicks, idle) {
+			ticksWithoutWrite++
+			if !c.isHeartbeatDue(ticksWithoutWrite, idle) {
 				continue
 			}
 			heartbeat = c.encodeHeartbeat()
@@ -32,7 +32,7 @@
 		}
 		wrote, err := c.writeQueued(heartbeat)
 		if wrote {
-			idleTicks = 0
+			ticksWithoutWrite = 0
 		}
 		if err != nil {
 			c.Close(err)
@@ -51,19 +51,19 @@
 	return !idle && now-max(received, c.pendingSince.Load()) > int64(PeerTimeout)
 }
 
-// busyIdleTicks is the number of ticks without a write after which a heartbeat is sent while replies are pending. It is not 1, because the
-// first tick may follow immediately after a write.
-const busyIdleTicks = 2
+// pendingHeartbeatTicks is the number of ticks without a write after which a heartbeat is sent while replies are pending. It is not
+// 1, because the first tick may come immediately after a write.
+const pendingHeartbeatTicks = 2
 
-// isHeartbeatDue reports whether a heartbeat has to be sent after idleTicks consecutive ticks without a write.
-func (c *Conn) isHeartbeatDue(idleTicks int, idle bool) bool {
+// isHeartbeatDue reports whether a heartbeat has to be sent after ticksWithoutWrite consecutive ticks without a write.
+func (c *Conn) isHeartbeatDue(ticksWithoutWrite int, idle bool) bool {
 	switch {
 	case c.alwaysHeartbeat:
 		return true
 	case idle:
-		return idleTicks >= IdleFactor
+		return ticksWithoutWrite >= IdleFactor
 	}
-	return idleTicks >= busyIdleTicks
+	return ticksWithoutWrite >= pendingHeartbeatTicks
 }
 
 // writeQueued writes heartbeat, unless it is nil, and all queued frames.
