--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -46,7 +46,7 @@
 }
 
 // timeoutPerMegabyte extends the timeout of a request in proportion to its body, because callers wait longer for large changes. A
-// megabyte is 1,000,000 bytes, about 5,000 routes, for which an operator's client waits 15 s.
+// megabyte is 1,000,000 bytes, about 5,000 routes, for which operators allow 15 s.
 const timeoutPerMegabyte = 4 * time.Second
 
 // retryAfter is the value of the Retry-After header of every 503, in seconds.
