--- a/internal/mesh/controlplane/api_server.go
+++ b/internal/mesh/controlplane/api_server.go
@@ -13,7 +13,8 @@
 // maxRequestBytes is the size of the largest request body.
 const maxRequestBytes = 4 << 20
 
-// Paths of the operators' API. The former paths are served until the next release; members of the previous one know no others.
+// Paths of the operators' API. The former paths are served until the next release, since members of the
+// previous release know no others.
 const (
 	PathModify            = "/v1/configuration/modify"
 	PathFetch             = "/v1/configuration/fetch"
@@ -23,7 +24,7 @@
 	FormerPathPolicy      = "/v1/rules"
 )
 
-// Texts of errors that operators see, beside those of package replica.
+// Texts of errors that operators see, in addition to those of package replica.
 const (
 	textNotCommitted = "not committed in time; it may still be"
 	textNotConfirmed = "the leader could not be confirmed by a quorum in time"
@@ -68,7 +69,7 @@
 	}
 }
 
-// fetch reads the configuration, which holds every change that was acknowledged before.
+// fetch returns the configuration, which includes every change that was acknowledged before the call.
 func (m *Member) fetch(ctx context.Context, _ *http.Request, _ api.Empty) (config.Document, error) {
 	done := make(chan replica.FetchResult, 1)
 	m.loop.post(func() {
@@ -84,7 +85,7 @@
 	return config.Document{}, api.NewError(http.StatusServiceUnavailable, textNotConfirmed)
 }
 
-// handlerFunc is a function that api.NewHandler makes a handler of.
+// handlerFunc is a function that api.NewHandler turns into an HTTP handler.
 type handlerFunc[Request, Response any] func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error)
 
 // apiResult is the answer to one request of an operator.
@@ -93,8 +94,8 @@
 	err      error // nil, or an *api.Error with the status to answer with
 }
 
-// atLeader makes a handler of a function that only the leader can answer, which runs on the loop's goroutine. Another member
-// redirects the caller to the leader.
+// atLeader returns a handler for a request that only the leader can answer. It runs answer on the loop's goroutine. A member that does not
+// lead redirects the caller to the leader.
 func atLeader[Request, Response any](m *Member, answer func(Request, func(apiResult[Response]))) handlerFunc[Request, Response] {
 	return func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error) {
 		done := make(chan apiResult[Response], 1)
@@ -114,7 +115,7 @@
 	}
 }
 
-// redirectToLeader returns an error that redirects a caller to the leader, or nil if this member leads. All members serve operators at the
+// redirectToLeader returns an error that redirects a caller to the leader, or nil if this member leads. All members serve operators on the
 // same port.
 func (m *Member) redirectToLeader(path string) error {
 	if m.replica.IsLeader() {
--- a/internal/mesh/controlplane/api_server_test.go
+++ b/internal/mesh/controlplane/api_server_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/settings"
 )
 
-// newTestMember returns a member that leads by itself, with the loop running until the test ends.
+// newTestMember returns the leader of a control plane with one member. Its loop runs until the test ends.
 func newTestMember(t *testing.T) *Member {
 	t.Helper()
 	controller, leader := newTestController(t)
@@ -40,7 +40,7 @@
 	return m
 }
 
-// Scripts may call the paths of the former release.
+// Operators' scripts may still call the paths of the former release.
 func TestAPIAnswersFormerPaths(t *testing.T) {
 	handler := newAPIServer(newTestMember(t)).Handler
 	for former, present := range map[string]string{"/v1/night": "/v1/maintenance", "/v1/rules": "/v1/policy"} {
@@ -52,7 +52,7 @@
 			assert.Assert(t, strings.Contains(w.Body.String(), `"leader":"`+testAddress+`"`), w.Body.String())
 			bodies[path] = w.Body.String()
 		}
-		if former == "/v1/rules" { // that of maintenance has the time in it
+		if former == "/v1/rules" { // the response of maintenance includes the time, so two of them differ
 			assert.Equal(t, bodies[former], bodies[present])
 		}
 	}
--- a/internal/mesh/controlplane/clock.go
+++ b/internal/mesh/controlplane/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// clock is a member's view of time. The zero offset is right outside of tests.
+// clock is a member's source of time. The offset is zero except in fault drills.
 type clock struct {
 	started time.Time
 	offset  time.Duration // of the time of day, for fault drills with clocks that are wrong; set before Run
--- a/internal/mesh/controlplane/disk_contents.go
+++ b/internal/mesh/controlplane/disk_contents.go
@@ -13,18 +13,18 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// ErrEmptyDisk is the error of RecoverConfiguration for an empty data folder.
+// ErrEmptyDisk is returned by RecoverConfiguration for an empty data folder.
 const ErrEmptyDisk = errors.ConstError("the data folder is empty")
 
-// DiskContents is what the data folder of a stopped member holds, with all of its log applied, committed or not. Which of its entries are
-// committed only the members together know. The JSON is read by operators' tools.
+// DiskContents describes the data folder of a stopped member, with its whole log applied: one member alone cannot tell which of its
+// entries are committed. The JSON is read by operators' tools.
 type DiskContents struct {
 	Format       int           `json:"format"`
 	Empty        bool          `json:"empty"`
 	Self         raft.ID       `json:"self"`
 	Term         uint64        `json:"term"`
 	Vote         raft.ID       `json:"vote"`
-	Snapshot     uint64        `json:"snapshot"` // index of the last entry that it stands for
+	Snapshot     uint64        `json:"snapshot"` // index of the last entry that the snapshot includes
 	SnapshotTerm uint64        `json:"snapshotTerm"`
 	Last         uint64        `json:"last"` // index of the log's last entry
 	Members      []raft.Member `json:"members"`
@@ -53,8 +53,8 @@
 	return contents, nil
 }
 
-// RecoverConfiguration returns the request that restores the configuration in a data folder, with all of its log applied, committed or
-// not. It is for a control plane that has lost more members than it tolerates. The member must not run.
+// RecoverConfiguration returns the request that restores the configuration in a data folder, with its whole log applied, including
+// entries that may not be committed. It is for a control plane that has lost more members than it tolerates. The member must not run.
 func RecoverConfiguration(dir string) (config.ModifyRequest, error) {
 	state, contents, err := readDataFolder(dir)
 	if err != nil {
@@ -63,8 +63,8 @@
 	if contents.Empty {
 		return config.ModifyRequest{}, errors.Annotate(ErrEmptyDisk, dir)
 	}
-	layout := state.Items.Document()
-	return config.ModifyRequest{Upsert: &layout}, nil
+	document := state.Items.Document()
+	return config.ModifyRequest{Upsert: &document}, nil
 }
 
 // readDataFolder reads a data folder and applies all of its log.
@@ -93,12 +93,12 @@
 	return state, contents, nil
 }
 
-// WriteText writes the contents for people to read.
+// WriteText writes the contents in human-readable form.
 func (c DiskContents) WriteText(w io.Writer) {
-	_, _ = io.WriteString(w, c.String()) // as with fmt.Print, nobody reads it then
+	_, _ = io.WriteString(w, c.String()) // nothing reads the output if the write fails
 }
 
-// String returns the contents for people to read, a line for each.
+// String returns the contents in human-readable form, one line for each member, item and so on.
 func (c DiskContents) String() string {
 	if c.Empty {
 		return "empty\n"
--- a/internal/mesh/controlplane/disk_contents_test.go
+++ b/internal/mesh/controlplane/disk_contents_test.go
@@ -27,7 +27,7 @@
 	assert.ErrorIs(t, err, os.ErrNotExist) // there never was a store
 }
 
-// The complete log is applied, since every entry on the disk of one member may have been committed.
+// The whole log is applied, since any entry on the disk of one member may have been committed.
 func TestContentsIncludeTheWholeLog(t *testing.T) {
 	dir := t.TempDir()
 	opened, err := openStore(storage.Directory(dir), zerolog.Nop())
--- a/internal/mesh/controlplane/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -13,7 +13,7 @@
 
 var _ replica.Environment = environment{}
 
-// environment is what the replica acts through. The replica calls it on the loop's goroutine.
+// environment performs the I/O that the replica requests. The replica calls it on the loop's goroutine.
 type environment struct {
 	ctx        context.Context // of calls to other members: ends with this one
 	loop       *eventLoop
@@ -51,10 +51,10 @@
 	return replica.Reply{Status: int(reply.Status), Body: reply.Body}
 }
 
-// Save writes and syncs. It returns only once that has succeeded, or the process shuts down.
+// Save writes and syncs the state in ready. It returns only once that has succeeded, or when the process shuts down.
 func (e environment) Save(ready raft.Ready, last uint64) bool { return e.writer.save(ready, last) }
 
-// Compact replaces the log by a snapshot.
+// Compact replaces the log up to a snapshot by the snapshot.
 func (e environment) Compact(snapshot raft.Snapshot, kept uint64) { e.writer.compact(snapshot, kept) }
 
 // BroadcastToSidecars sends a message to each sidecar that is connected.
--- a/internal/mesh/controlplane/inbound.go
+++ b/internal/mesh/controlplane/inbound.go
@@ -17,11 +17,11 @@
 
 // acceptConnections accepts connections of members, sidecars and observers until the member stops.
 func (m *Member) acceptConnections() {
-	transport.AcceptEach(m.transportListener, m.loop.stopped, m.serveRaw)
+	transport.AcceptEach(m.transportListener, m.loop.stopped, m.acceptConnection)
 }
 
-// serveRaw completes the handshake and then serves the connection. If the handshake fails the connection is dropped.
-func (m *Member) serveRaw(raw net.Conn) {
+// acceptConnection completes the handshake and then serves the connection. A connection whose handshake fails is dropped.
+func (m *Member) acceptConnection(raw net.Conn) {
 	connection, err := transport.Accept(raw, m.heartbeat)
 	if err != nil {
 		m.log.Debug().Err(err).Str("remote", raw.RemoteAddr().String()).Msg("handshake failed")
@@ -30,23 +30,23 @@
 	m.serveConnection(connection)
 }
 
-// heartbeat returns the content of heartbeats. It runs on the connections' goroutines, so that it is right also while the loop's goroutine
-// hangs, for instance on its disk: the member then has no quorum contact.
+// heartbeat returns the content of heartbeats. It runs on the connections' goroutines, so that it reports the loss of quorum contact
+// even while the loop's goroutine hangs, for instance on a disk write.
 func (m *Member) heartbeat() *wire.HeartbeatT {
 	return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(time.Duration(m.quorumContact.Load()), m.clock.now())}
 }
 
-// serveConnection receives until the connection ends.
+// serveConnection receives and handles messages until the connection ends.
 func (m *Member) serveConnection(connection *transport.Conn) {
 	from := replica.FromReplica
 	if !connection.Peer.ControlPlane {
 		from = replica.FromSidecar
 	}
 	if from == replica.FromSidecar {
-		m.loop.post(func() { m.greetSidecar(connection) })
+		m.loop.post(func() { m.registerSidecar(connection) })
 		defer m.loop.post(func() { m.sidecars.remove(connection) })
 	} else {
-		m.loop.post(func() { m.greetPeer(connection) })
+		m.loop.post(func() { m.connectBack(connection) })
 	}
 	for {
 		message, err := connection.Receive()
@@ -66,26 +66,27 @@
 	}
 }
 
-// greetSidecar adds a sidecar's connection and sends it what it has to know first.
-func (m *Member) greetSidecar(connection *transport.Conn) {
+// registerSidecar adds a sidecar's connection and sends it the initial messages.
+func (m *Member) registerSidecar(connection *transport.Conn) {
 	m.sidecars.add(connection)
 	for _, message := range m.replica.InitialMessages() {
 		_ = connection.Send(message)
 	}
 }
 
-// greetPeer remembers the address of a member that has connected, and connects to it.
-func (m *Member) greetPeer(connection *transport.Conn) {
+// connectBack records the address of a member that has connected, and dials that member.
+func (m *Member) connectBack(connection *transport.Conn) {
 	m.replica.RememberAddress(raft.ID(connection.Peer.MemberId), connection.Peer.Addr)
 	m.peers.link(connection.Peer.Addr).dialNow()
 }
 
-// sendRecords sends all records to a peer that has just been connected, since it may have missed some.
+// sendRecords sends all records to a peer that has just been connected, since it may have missed some while it was not connected.
 func (m *Member) sendRecords(connection *transport.Conn) {
 	m.loop.post(func() { _ = connection.Send(directory.ToWire(m.replica.Records().All())) })
 }
 
-// stepMessage passes a Raft message to the replica. One that can't be decoded is dropped, which Raft treats as a lost message.
+// stepMessage passes a Raft message to the replica. A message that can't be decoded is dropped, which Raft tolerates like
+// a lost message.
 func (m *Member) stepMessage(body *wire.RaftMessageT) {
 	message, err := raftwire.MessageFromWire(body)
 	if err != nil {
@@ -95,8 +96,8 @@
 	m.loop.post(func() { m.replica.Step(m.clock.now(), message) })
 }
 
-// mergeRecords merges records that a sidecar sent about itself, or that another member forwarded. If this member has newer ones of a
-// sidecar, they are sent back to it.
+// mergeRecords merges records that a sidecar sent about itself, or that another member forwarded. Where this member has a newer record, it
+// sends that back to the sender.
 func (m *Member) mergeRecords(records []directory.Record, connection *transport.Conn, from replica.Origin) {
 	for _, newer := range m.replica.MergeRecords(m.clock.now(), records, from) {
 		_ = connection.Send(directory.ToWire([]directory.Record{newer}))
@@ -132,7 +133,7 @@
 	m.loop.post(func() { m.replica.HandleModify(m.clock.now(), modification, reply) })
 }
 
-// replyTo returns a function that sends the reply to a call, after the message that the caller needs first, if there is one.
+// replyTo returns a function that sends the reply to a call. If the reply has a Push message, that is sent first.
 func replyTo(connection *transport.Conn, id uint64) func(replica.Reply) {
 	return func(reply replica.Reply) {
 		if reply.Push != nil {
--- a/internal/mesh/controlplane/initial_orders.go
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -18,8 +18,8 @@
 	Orders    []initialOrder  `json:"Orders"`
 }
 
-// initialOrdersProgress is how far this member has placed initialOrders. It is kept when the member steps down, so one that leads again
-// goes on where it stopped.
+// initialOrdersProgress records how many of the initialOrders this member has placed. It is kept when the member steps down, so that a
+// member that leads again continues where it stopped.
 type initialOrdersProgress struct {
 	configuredAt time.Duration // when this member, as the leader, first saw a configuration, or 0 if it has not
 	placed       int           // how many of initialOrders.Orders were proposed
@@ -36,7 +36,7 @@
 	return time.Duration(o.DelaySeconds * float64(time.Second))
 }
 
-// readInitialOrders reads and checks a file. It returns nil if none is named.
+// readInitialOrders reads and checks a file. It returns nil if file is "".
 func readInitialOrders(file string) (*initialOrders, error) {
 	if file == "" {
 		return nil, nil
@@ -74,7 +74,7 @@
 	if now-progress.configuredAt < next.delay() {
 		return
 	}
-	if c.survey.status == nil { // the machines' names are not known yet
+	if c.survey.status == nil { // only a survey provides the machines' names
 		c.survey.start(func() {})
 		return
 	}
@@ -90,9 +90,9 @@
 	})
 }
 
-// placeInitialContracts proposes the contracts, once. If the replica takes no proposal, as with too many in flight, or if the proposal is
-// lost with the leadership, this member neither logs that nor proposes them again: the orders are then placed without them, and the
-// contracts are missing until another member that was started with the file leads, or an operator applies them.
+// placeInitialContracts proposes the contracts, once. If the replica rejects the proposal, for instance because too many are in
+// flight, or if the proposal is lost with the leadership, this member neither logs that nor proposes them again: the orders are then placed
+// without them, and the contracts are missing until another member that was started with the file leads, or an operator applies them.
 func (c *maintenanceController) placeInitialContracts() {
 	items, _ := config.ParseItems(c.initial.Contracts) // readInitialOrders has checked it
 	change := replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items))
--- a/internal/mesh/controlplane/leader_test.go
+++ b/internal/mesh/controlplane/leader_test.go
@@ -13,7 +13,7 @@
 
 const testAddress = "10.0.0.1:7000"
 
-// soloEnvironment is the environment of a replica without peers or sidecars, whose disk accepts everything.
+// soloEnvironment is the environment of a replica without peers or sidecars. Its writes always succeed.
 type soloEnvironment struct{}
 
 func (soloEnvironment) Send(string, raft.Message)                             {}
@@ -24,13 +24,13 @@
 func (soloEnvironment) BroadcastToSidecars(any)                               {}
 func (soloEnvironment) BroadcastToReplicas(any)                               {}
 
-// soloLeader is a replica that leads by itself, with its clock.
+// soloLeader is the leader of a control plane with one member, and its clock.
 type soloLeader struct {
 	*replica.Replica
 	clock *clock
 }
 
-// newSoloLeader returns a leader whose clock the test sets. It also advances by the time that the test itself takes.
+// newSoloLeader returns a leader whose clock the test sets. The clock also advances in real time.
 func newSoloLeader(t *testing.T) soloLeader {
 	t.Helper()
 	self := raft.Member{ID: 7, Addr: testAddress}
--- a/internal/mesh/controlplane/loop_test.go
+++ b/internal/mesh/controlplane/loop_test.go
@@ -16,7 +16,7 @@
 	assert.DeepEqual(t, ran, []int{0, 1, 2})
 }
 
-// A batch is bounded, so that the replica gets its turn however many tasks are posted.
+// A batch is bounded, so that the replica is processed regularly however many tasks are posted.
 func TestEventLoopBoundsABatch(t *testing.T) {
 	loop := newEventLoop()
 	ran := 0
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	clockInterval     = 5 * time.Second  // between two times of day that are committed
+	clockInterval     = 5 * time.Second  // between two commits of the time of day
 	silenceTimeout    = 5 * time.Second  // after which an order no longer waits for a sidecar that does not answer
-	downloadAllowance = 10 * time.Second // that a plan adds to a drain for responses of download routes
-	maintenanceMargin = 10 * time.Second // to keep free before a window ends
-	warmUpTime        = 3 * time.Second  // for which a machine has to be ready before it counts as warm
+	downloadAllowance = 10 * time.Second // extra drain time for responses of download routes
+	maintenanceMargin = 10 * time.Second // must remain before a maintenance window ends
+	warmUpTime        = 3 * time.Second  // how long a machine has to be ready before it counts as warm
 )
 
-// textAnotherOrderBegins is what an order waits for while another one begins.
+// textAnotherOrderBegins is the reason why an order waits while another one begins.
 const textAnotherOrderBegins = "another order begins"
 
 // maintenanceController carries out maintenance orders while this member leads: it surveys the mesh, commits the agreed time of day, and
-// advances each open order by one step when the plan of internal/mesh/maintenance allows it. It is idle while there are neither contracts
-// nor orders. It belongs to the loop's goroutine.
+// advances each open order by one step when the plan of internal/mesh/maintenance allows it. It does nothing while there are neither
+// contracts nor orders. It belongs to the loop's goroutine.
 type maintenanceController struct {
 	log      zerolog.Logger
 	settings *atomic.Pointer[settings.Settings]
@@ -41,14 +41,14 @@
 
 	initialProgress initialOrdersProgress
 
-	contracts      []maintenance.Contract // as of the entry contractsIndex
+	contracts      []maintenance.Contract // in the configuration of log index contractsIndex
 	contractsIndex uint64
 	timeAgreedAt   time.Duration            // when this leader last proposed a time of day, or 0 if it never has
 	trustClocks    bool                     // an operator has confirmed that the clocks are right, whatever was committed before
 	readySince     map[string]time.Duration // by address: since when the machine has been ready
 	waitingFor     map[string]string        // by order: what it waits for
-	// pending is how many steps were proposed in this leadership and are neither applied nor lost. No step is decided meanwhile, since it
-	// would be based on orders that are about to change.
+	// pending is how many steps were proposed in this leadership and are neither applied nor lost. No further step is chosen meanwhile,
+	// since it would be based on orders that are about to change.
 	pending int
 	// leadership counts how often this member has stepped down, so that steps of an earlier leadership are not counted as pending.
 	leadership int
@@ -76,9 +76,9 @@
 	}
 }
 
-// stepDown discards the state of a leader.
+// stepDown discards the state that only a leader has.
 func (c *maintenanceController) stepDown() {
-	c.survey.forget()
+	c.survey.discardResults()
 	c.readySince = nil
 	c.timeAgreedAt = 0
 	c.trustClocks = false
@@ -161,7 +161,7 @@
 	}
 }
 
-// advanceOrders proposes the next step of each open order that does not have to wait.
+// advanceOrders proposes the next step of each open order, and records why the others wait.
 func (c *maintenanceController) advanceOrders() {
 	if !c.replica.IsReadyLeader() || c.pending > 0 {
 		return
@@ -187,7 +187,7 @@
 	}
 }
 
-// proposeStep proposes the next step of an order. No other step is decided until this one is applied or lost.
+// proposeStep proposes the next step of an order. No other step is proposed until this one is applied or lost.
 func (c *maintenanceController) proposeStep(order maintenance.Order, change maintenance.OrderChange) {
 	c.log.Info().Str("order_id", order.ID).Str("machine", order.CurrentMachine()).Str("step", string(change.Step)).Str("reason", change.Text).
 		Msg("maintenance step proposed")
--- a/internal/mesh/controlplane/maintenance_api.go
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/mesh/replica"
 )
 
-// textNoName is the error of a request without By.
+// textNoName is the error text for a request that accepts the clocks without an operator's name.
 const textNoName = "the name of the operator is missing"
 
 // MaintenanceRequest is an operator's request: for the plan of a machine, to place an order, to change one, or only for the state of all
@@ -25,7 +25,7 @@
 	By            string                   `json:"By,omitempty" validate:"max=128"`
 	LengthSeconds float64                  `json:"LengthS,omitempty" validate:"gte=0,lte=86400"`
 	Machines      []string                 `json:"Machines,omitempty" validate:"max=256"`
-	// TrustClocks says that By confirms that the members' clocks are right, whatever was committed before.
+	// TrustClocks is set if By confirms that the members' clocks are right, whatever time was committed before.
 	TrustClocks bool `json:"Trust,omitempty"`
 }
 
@@ -34,8 +34,8 @@
 	Now            maintenance.TimeBounds `json:"now"`
 	TimeAgreed     bool                   `json:"known"`
 	ClocksDisagree bool                   `json:"doubt,omitempty"`
-	Verdict        *maintenance.Verdict   `json:"verdict,omitempty"` // on Machine
-	Sequence       []string               `json:"inOrder,omitempty"` // Machines as they would be drained one after the other
+	Verdict        *maintenance.Verdict   `json:"verdict,omitempty"` // whether Machine may be taken out
+	Sequence       []string               `json:"inOrder,omitempty"` // Machines, in the order in which they would be drained
 	Orders         []maintenance.Order    `json:"orders"`
 	WaitingFor     map[string]string      `json:"waits,omitempty"` // by order
 	Leader         string                 `json:"leader"`
@@ -71,7 +71,7 @@
 	}
 }
 
-// response returns the state of all orders, and what else the request asks for.
+// response returns the state of all orders and, if the request names machines, a plan or a drain sequence.
 func (c *maintenanceController) response(request MaintenanceRequest) MaintenanceResponse {
 	state := &c.replica.State().Maintenance
 	response := MaintenanceResponse{
@@ -105,7 +105,7 @@
 	return api.NewError(http.StatusConflict, err.Error())
 }
 
-// acceptClocks commits a new time of day based on the clocks alone, without regard to the one before.
+// acceptClocks proposes a time of day from the members' present clocks, ignoring the one that was committed before.
 func (c *maintenanceController) acceptClocks(by string, respond func(error)) {
 	if by == "" {
 		respond(api.NewError(http.StatusBadRequest, textNoName))
@@ -147,7 +147,8 @@
 	c.propose(replica.MaintenanceUpdate, change, respond)
 }
 
-// confirmAndPlan answers from this member's state, once a quorum has confirmed that it still leads. A plan is based on a new survey.
+// confirmAndPlan answers from this member's state once a quorum has confirmed that it still leads. It surveys the mesh first if a plan is
+// requested.
 func (c *maintenanceController) confirmAndPlan(request MaintenanceRequest, respond func(error), done func(apiResult[MaintenanceResponse])) {
 	c.replica.ReadIndex(c.clock.now(), func(read replica.ReadIndexResult) {
 		switch {
@@ -199,7 +200,7 @@
 	return address
 }
 
-// checkApprover returns an error unless the contracts that cover an order's machines, if any, name somebody as an approver.
+// checkApprover returns an error unless the contracts that cover an order's machines, if any, name by as an approver.
 func (c *maintenanceController) checkApprover(order maintenance.Order, by string) error {
 	for _, machine := range order.Machines {
 		verdict := c.meshView("").Plan(machine, order.Duration, maintenance.TimeBounds{})
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -54,7 +54,7 @@
 	return response, err
 }
 
-func TestMachinesAreKnownByNameAndAddress(t *testing.T) {
+func TestMachineNamesAndAddressesAreResolved(t *testing.T) {
 	controller, _ := newTestController(t)
 	addresses := map[string]string{"sidecar-1": sidecarAddress, "member-1": testAddress, sidecarAddress: sidecarAddress, "nobody": "nobody"}
 	for name, address := range addresses {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestPlanNeedsAnAgreedTime(t *testing.T) {
+func TestPlanIsNotApprovedWithoutAnAgreedTime(t *testing.T) {
 	controller, leader := newTestController(t)
 	response, err := ask(t, controller, leader, MaintenanceRequest{Machine: "sidecar-1", Machines: []string{"member-1", "sidecar-1"}})
 	assert.NilError(t, err)
@@ -116,7 +116,7 @@
 	assert.Equal(t, controller.pending, 0)
 }
 
-func TestWarmMachineHasBeenReadyWithoutABreak(t *testing.T) {
+func TestMachineIsWarmAfterContinuousReadiness(t *testing.T) {
 	controller, leader := newTestController(t)
 	assert.Assert(t, !controller.isWarm(sidecarAddress, true))
 	leader.clock.started = leader.clock.started.Add(-warmUpTime)
@@ -125,7 +125,7 @@
 	assert.Assert(t, !controller.isWarm(sidecarAddress, true))
 }
 
-func TestInitialOrdersArePlacedInTurn(t *testing.T) {
+func TestInitialOrdersArePlacedAfterContractsAndDelays(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "initial.json")
 	assert.NilError(t, os.WriteFile(file, []byte(`{"Contracts": {"Upsert": {}}, "Orders": [
 		{"id": "now", "machines": ["sidecar-1"], "by": "ana"}, {"id": "later", "machines": ["member-1"], "by": "ana", "AfterS": 60}]}`), 0o600))
@@ -145,7 +145,7 @@
 	assert.Equal(t, len(place()), 0) // there is no configuration
 	assert.Equal(t, controller.initialProgress.configuredAt, time.Duration(0))
 	leader.modify(t, `{"Upsert":{"UpstreamGroups":[{"Name":"stock","ConfigVersion":1}]}}`)
-	assert.Equal(t, len(place()), 0) // contracts go first
+	assert.Equal(t, len(place()), 0) // contracts are placed first
 	assert.DeepEqual(t, place(), []string{"now"})
 	assert.DeepEqual(t, place(), []string{"now"})
 	leader.clock.started = leader.clock.started.Add(-time.Minute)
--- a/internal/mesh/controlplane/member.go
+++ b/internal/mesh/controlplane/member.go
@@ -1,11 +1,11 @@
-// Package controlplane is the shell of one control-plane member. It wires the parts round the pure replica of
-// internal/mesh/replica, which takes all decisions of consensus and state, and owns their lifecycle: the store, links to the other
-// members, connections of sidecars, the operators' API, and the leader's controllers of maintenance and policy rollout.
+// Package controlplane runs one control-plane member. All decisions about consensus and state are made by the deterministic replica of
+// internal/mesh/replica. This package performs its I/O and owns the lifecycle of everything around it: the store, the links to the other
+// members, the connections of sidecars, the operators' API, and the leader's controllers for maintenance and policy rollout.
 //
-// One goroutine, that of Member.Run, owns the replica, the store and the controllers; everything else posts to its eventLoop (loop.go).
-// Nothing here may touch the replica from another goroutine, acknowledge what is not on disk, or hold a lock over I/O. While the disk
-// rejects writes, that goroutine retries and does nothing else (store.go), so nothing is acknowledged; connections go on and report that
-// there is no quorum contact.
+// The goroutine of Member.Run owns the replica, the store and the controllers; other goroutines post tasks to its eventLoop (loop.go).
+// Nothing here may access the replica from another goroutine, acknowledge what is not on disk, or hold a lock during I/O. While the disk
+// rejects writes, that goroutine only retries the write (store.go), so nothing is acknowledged. Connections stay open meanwhile, and
+// their heartbeats report that the member has no quorum contact.
 //
 // The design follows the split of etcd's raft from its server: docs/design/control.md.
 package controlplane
@@ -33,14 +33,14 @@
 
 // Times of a graceful shutdown.
 const (
-	minLeaveTime = 400 * time.Millisecond // for another member to become leader, and for accepted calls to be answered
-	maxLeaveTime = 2 * time.Second        // even if the members that stay lag behind
+	minLeaveTime = 400 * time.Millisecond // lets another member become leader, and accepted calls be answered
+	maxLeaveTime = 2 * time.Second        // applies even if the remaining members lag behind
 )
 
-// ErrNoDataDir is the error of New for settings without DataDir. They have to be corrected.
+// ErrNoDataDir is returned by New if the settings have no DataDir. The operator has to correct them.
 const ErrNoDataDir = errors.ConstError("settings: DataDir is empty; a control-plane member needs a disk")
 
-// Member is one control-plane member. New makes it, Run runs it, once.
+// Member is one control-plane member. New creates it; Run must be called once.
 type Member struct {
 	settings atomic.Pointer[settings.Settings]
 	log      zerolog.Logger
@@ -49,9 +49,9 @@
 	loop     *eventLoop
 	self     raft.Member
 	ctx      context.Context
-	cancel   context.CancelFunc // ends what was begun on behalf of this member
-	// background is the goroutines whose end Run waits for. Only Run's goroutine starts any, so that none is added during the wait.
-	// The goroutines of connections are not among them: connections with other members stay open until the process ends.
+	cancel   context.CancelFunc // ends the calls, dials and surveys of this member
+	// background has the goroutines that Run waits for before it returns. Only Run's goroutine starts any, so that none is added during
+	// the wait. The goroutines of connections are not included: connections with other members stay open until the process ends.
 	background sync.WaitGroup
 
 	transportListener net.Listener
@@ -61,7 +61,7 @@
 	sidecars          sidecarSet
 	writer            stateWriter
 	replica           *replica.Replica
-	quorumContact     atomic.Int64 // Replica.QuorumContact as of the last turn, for the goroutines of connections
+	quorumContact     atomic.Int64 // Replica.QuorumContact after the last iteration of the loop, for the goroutines of connections
 
 	survey      surveyor
 	maintenance maintenanceController
@@ -69,8 +69,8 @@
 }
 
 // New opens the store and the listeners. initialOrders names a file of contracts and maintenance orders to place once there is a
-// configuration, or is "". While the store is unavailable, for instance because the disk is full, New does not return. On an error nothing
-// stays open.
+// configuration, or is "". While the store is unavailable, for instance because the disk is full, New does not return. If it fails, it
+// closes everything that it opened.
 func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring, initialOrders string) (_ *Member, err error) {
 	if set.DataDir == "" {
 		return nil, ErrNoDataDir
@@ -112,7 +112,7 @@
 	}
 }
 
-// wire connects the parts that do not depend on the store.
+// wire connects the components that do not depend on the store.
 func (m *Member) wire(orders *initialOrders) {
 	m.peers.ctx = m.ctx
 	m.peers.log = m.log
@@ -121,13 +121,13 @@
 	m.peers.onRefused = m.peerRefused
 	m.writer.log = m.log
 	m.survey = surveyor{
-		ctx:        m.ctx,
-		loop:       m.loop,
-		clock:      &m.clock,
-		self:       m.self.Addr,
-		ownStatus:  m.status,
-		done:       m.policies.activate,
-		background: &m.background,
+		ctx:         m.ctx,
+		loop:        m.loop,
+		clock:       &m.clock,
+		self:        m.self.Addr,
+		ownStatus:   m.status,
+		afterSurvey: m.policies.activate,
+		background:  &m.background,
 	}
 	m.maintenance = maintenanceController{
 		log:      m.log,
@@ -140,7 +140,7 @@
 	m.policies = policyActivator{log: m.log, clock: &m.clock, survey: &m.survey, self: m.self.Addr}
 }
 
-// openReplica opens the store and makes the replica of what it holds.
+// openReplica opens the store and creates the replica from the stored state.
 func (m *Member) openReplica(set settings.Settings) error {
 	opened, err := openStore(storage.Directory(set.DataDir), m.log)
 	if err != nil {
@@ -196,7 +196,7 @@
 // Addr returns the address at which other members and sidecars reach this one.
 func (m *Member) Addr() string { return m.self.Addr }
 
-// SetClockOffset makes the time of day wrong by an offset, for fault drills. It has to be called before Run.
+// SetClockOffset shifts this member's time of day by an offset, to simulate a wrong clock in fault drills. It has to be called before Run.
 func (m *Member) SetClockOffset(offset time.Duration) { m.clock.offset = offset }
 
 // Reload applies changed settings. Changes of addresses only take effect at the next start. Any goroutine may call it.
@@ -215,16 +215,16 @@
 	defer ticker.Stop()
 	terminate := ctx.Done()
 	const notLeaving = time.Duration(-1)
-	leaving := notLeaving // when the shutdown began
-	for leaving == notLeaving || !m.canStop(m.clock.now()-leaving) {
+	leavingSince := notLeaving // when the shutdown began
+	for leavingSince == notLeaving || !m.canStop(m.clock.now()-leavingSince) {
 		select {
 		case task := <-m.loop.tasks:
 			m.loop.runBatch(task)
 		case <-ticker.C:
 			m.tick() //nolint:contextcheck // what it starts ends with m.ctx, after Run's ctx, so that accepted calls are answered first
 		case <-terminate:
-			leaving = m.clock.now()
-			m.replica.BeginShutdown(leaving)
+			leavingSince = m.clock.now()
+			m.replica.BeginShutdown(leavingSince)
 			terminate = nil
 		}
 		if !m.replica.ProcessReady() { // the disk rejects writes during the shutdown, so nothing more can be acknowledged
@@ -243,9 +243,9 @@
 	}
 }
 
-// canStop reports whether a member may stop after shutting down for some time: once the members that stay hold everything that this one
-// holds (raft/leave.go), and accepted calls had time to be answered; or after maxLeaveTime, or half of the deploy file's grace period
-// if that is shorter.
+// canStop reports whether a member that has been shutting down for leavingFor may stop. It may after minLeaveTime, in which accepted calls
+// are answered, if the remaining members have replicated its whole log (raft/leave.go). It may in any case after maxLeaveTime, or after
+// half of the deploy file's grace period if that is shorter.
 func (m *Member) canStop(leavingFor time.Duration) bool {
 	limit := min(maxLeaveTime, m.settings.Load().Bounds.GraceS.Duration()/2)
 	return leavingFor >= limit || leavingFor >= minLeaveTime && m.replica.CanShutDown()
@@ -260,7 +260,7 @@
 	m.writer.store.Close()
 }
 
-// tick does what is due by time.
+// tick advances everything that depends on time.
 func (m *Member) tick() {
 	m.replica.SetSeeds(m.settings.Load().SeedAddresses())
 	now := m.clock.now()
@@ -274,15 +274,15 @@
 	return &wire.HelloT{Name: m.settings.Load().NodeName, Addr: m.self.Addr, ControlPlane: true, MemberId: uint64(m.self.ID)}
 }
 
-// peerRefused is called when the host of a peer has refused a connection, which means that its process has ended. Any goroutine may
+// peerRefused handles a connection that a peer's host has refused, which means that the peer's process has ended. Any goroutine may
 // call it.
 func (m *Member) peerRefused(address string) {
-	m.loop.post(func() { m.peerGone(address) })
+	m.loop.post(func() { m.peerExited(address) })
 }
 
-// peerGone reports to the replica that the process at an address has ended. If that was the leader, it schedules a tick for when the
+// peerExited reports to the replica that the process at an address has ended. If that was the leader, it schedules a tick for when the
 // election is due, since the regular ticks are too far apart. It belongs to the loop's goroutine.
-func (m *Member) peerGone(address string) {
+func (m *Member) peerExited(address string) {
 	wait, wasLeader := m.replica.PeerExited(m.clock.now(), address)
 	if !wasLeader {
 		return
--- a/internal/mesh/controlplane/mesh_view.go
+++ b/internal/mesh/controlplane/mesh_view.go
@@ -9,8 +9,9 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// meshView returns the mesh as the input of a plan. The machine of the order except does not count as in maintenance.
-func (c *maintenanceController) meshView(except string) maintenance.View {
+// meshView returns the mesh as the input of a plan. The machine of the order with the ID excludedOrder does not count as in
+// maintenance.
+func (c *maintenanceController) meshView(excludedOrder string) maintenance.View {
 	state := c.replica.State()
 	view := maintenance.View{
 		Contracts:  c.currentContracts(),
@@ -20,7 +21,7 @@
 	c.addSidecars(&view)
 	c.addMembers(&view)
 	for _, order := range state.Maintenance.Orders.Open() {
-		if order.Step != maintenance.StepWaiting && order.ID != except {
+		if order.Step != maintenance.StepWaiting && order.ID != excludedOrder {
 			view.InMaintenance = append(view.InMaintenance, order.CurrentMachine())
 		}
 	}
--- a/internal/mesh/controlplane/observation.go
+++ b/internal/mesh/controlplane/observation.go
@@ -11,10 +11,10 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// maxWaitsNamed is how many of the sidecars that an order waits for are named to operators.
-const maxWaitsNamed = 3
+// maxNamedSenders is the maximum number of sidecars named in an order's reason for waiting.
+const maxNamedSenders = 3
 
-// observe returns what the latest survey found out about the current machine of an order.
+// observe returns the state of an order's current machine according to the latest survey.
 func (c *maintenanceController) observe(order maintenance.Order) maintenance.Observation {
 	address := order.CurrentMachine()
 	status := c.survey.status[address]
@@ -22,7 +22,7 @@
 		delete(c.readySince, address)
 		return maintenance.Observation{}
 	}
-	seen := maintenance.Observation{
+	observation := maintenance.Observation{
 		Reachable:         true,
 		Cordoned:          status.InMaintenance,
 		ServerRequests:    int(status.OpenRequests),
@@ -35,20 +35,20 @@
 		IsLeader:          status.IsLeader,
 	}
 	if status.ControlPlane {
-		seen.Ready = !status.InMaintenance && status.QuorumContact && !status.IsNonMember
+		observation.Ready = !status.InMaintenance && status.QuorumContact && !status.IsNonMember
 	} else {
 		record, _ := c.replica.Records().Get(address)
-		seen.Ready = !status.InMaintenance && status.Ready && (status.ServerId == "" || record.State == directory.ServerReady)
-		senders := c.stillSending(address)
-		seen.Senders = len(senders)
-		seen.SendersText = strings.Join(senders[:min(maxWaitsNamed, len(senders))], ", ")
+		observation.Ready = !status.InMaintenance && status.Ready && (status.ServerId == "" || record.State == directory.ServerReady)
+		senders := c.possibleSenders(address)
+		observation.Senders = len(senders)
+		observation.SendersText = strings.Join(senders[:min(maxNamedSenders, len(senders))], ", ")
 	}
-	seen.Warm = c.isWarm(address, seen.Ready)
-	return seen
+	observation.Warm = c.isWarm(address, observation.Ready)
+	return observation
 }
 
-// stillSending names the sidecars that may still send to the machine at an address, and why each may.
-func (c *maintenanceController) stillSending(address string) (senders []string) {
+// possibleSenders returns a text for each sidecar that may still send to the machine at an address, with the reason.
+func (c *maintenanceController) possibleSenders(address string) (senders []string) {
 	now := c.clock.now()
 	for _, record := range c.replica.Records().All() {
 		if record.Addr == address {
@@ -57,7 +57,7 @@
 		status := c.survey.status[record.Addr]
 		switch {
 		case status == nil && now-c.survey.lastHeard[record.Addr] > silenceTimeout:
-			// The machine itself rejects what a sidecar sends that is out of contact for so long.
+			// The machine rejects requests of a sidecar that has been out of contact for this long.
 		case status == nil:
 			senders = append(senders, record.Node+" does not answer")
 		case status.MaintenanceIndex < c.replica.State().Maintenance.Index:
@@ -69,7 +69,7 @@
 	return senders
 }
 
-// isWarm reports whether a machine has been ready without a break for warmUpTime.
+// isWarm reports whether a machine has been continuously ready for warmUpTime.
 func (c *maintenanceController) isWarm(address string, ready bool) bool {
 	if !ready {
 		delete(c.readySince, address)
@@ -86,7 +86,7 @@
 	return false
 }
 
-// describeWork describes for operators what runs at a sidecar's server, and how earlier requests there have ended.
+// describeWork returns a text for operators with the requests in flight at a sidecar's server, and how earlier ones ended.
 func describeWork(status *wire.StatusT) string {
 	var open, ended []string
 	for _, work := range status.Work {
--- a/internal/mesh/controlplane/peer_link.go
+++ b/internal/mesh/controlplane/peer_link.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxPendingFrames = 32                     // that wait for a dial; the oldest is dropped for another
+	maxPendingFrames = 32                     // queued during a dial; when the queue is full the oldest is dropped
 	redialInterval   = 200 * time.Millisecond // between two dials of a peer that can't be reached
-	// A peer whose connection has just ended is dialled again after quickRedialDelay, then each time after twice as long, up to
-	// maxQuickRedials times in a row. Only a refused dial distinguishes a process that has ended from a broken connection.
+	// A peer whose connection has just ended is dialled again after quickRedialDelay, then with the delay doubled each
+	// time, up to maxQuickRedials times in a row. Only a refused dial distinguishes a process that has ended from a broken connection.
 	quickRedialDelay = 5 * time.Millisecond
 	maxQuickRedials  = 5
 )
 
-// errNotConnected is the error of a call to a peer without a connection.
+// errNotConnected is returned for a call to a peer that is not connected.
 const errNotConnected = jujuerrors.ConstError("no connection to the leader")
 
 // peerLink is the outgoing connection to another member. It is dialled when there is something to send, and then kept open.
@@ -31,7 +31,7 @@
 	peers   *peerSet
 	address string
 
-	mu           sync.Mutex // guards below
+	mu           sync.Mutex // guards the fields below
 	connection   *transport.Conn
 	dialing      bool
 	noDialBefore time.Time
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// dialNow dials at once if there is no connection, although the last dial may just have failed: the peer has shown that it runs.
+// dialNow dials at once if there is no connection, even if the last dial has only just failed, since the peer is known to run.
 func (l *peerLink) dialNow() {
 	l.mu.Lock()
 	l.noDialBefore = time.Time{}
@@ -61,7 +61,7 @@
 	l.connect()
 }
 
-// run dials, and then receives until the connection ends. It runs on a goroutine of its own, which ends with the connection.
+// run dials, and then receives until the connection ends. It runs on its own goroutine, which ends with the connection.
 func (l *peerLink) run() {
 	connection, err := transport.Dial(l.peers.ctx, l.address, l.peers.hello(), nil)
 	l.dialed(connection, err)
@@ -125,7 +125,7 @@
 // isConnectionRefused reports whether a dial failed because no process listens at the address.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// send sends a message, which may be lost.
+// send sends a message without confirmation; the message may be lost.
 func (l *peerLink) send(message any) { l.sendFrame(codec.Encode(message)) }
 
 // sendFrame sends a frame, or queues it while the peer is being dialled.
--- a/internal/mesh/controlplane/peer_link_test.go
+++ b/internal/mesh/controlplane/peer_link_test.go
@@ -16,7 +16,7 @@
 
 const testTimeout = 20 * time.Second
 
-// newTestLink returns a link whose peer set reports to nobody.
+// newTestLink returns a link whose peer set has callbacks without effect.
 func newTestLink(t *testing.T, address string) *peerLink {
 	t.Helper()
 	peers := &peerSet{
@@ -76,8 +76,8 @@
 	awaitDial("the peer is not dialled again though its connection had lasted")
 }
 
-// A peer that has shown that it runs is dialled without waiting for the interval after a failed dial.
-func TestDialNowSkipsThePause(t *testing.T) {
+// A peer that is known to run is dialled without waiting for the interval after a failed dial.
+func TestDialNowIgnoresTheRedialInterval(t *testing.T) {
 	peer := listen(t)
 	link := newTestLink(t, peer.Addr().String())
 	link.noDialBefore = time.Now().Add(time.Hour)
--- a/internal/mesh/controlplane/peers.go
+++ b/internal/mesh/controlplane/peers.go
@@ -15,7 +15,7 @@
 	ctx   context.Context // of dials: ends with the member
 	log   zerolog.Logger
 	hello func() *wire.HelloT // introduces this member
-	// onConnected and onRefused are called by a link's own goroutine: when it is connected, and when the peer's host refused the
+	// onConnected and onRefused are called on the link's goroutine, after it has connected and after the peer's host has refused the
 	// connection.
 	onConnected func(*transport.Conn)
 	onRefused   func(address string)
--- a/internal/mesh/controlplane/policy_activation.go
+++ b/internal/mesh/controlplane/policy_activation.go
@@ -22,7 +22,7 @@
 	pending pendingActivation
 }
 
-// pendingActivation is the policy set that waits to become active. The zero value stands for none.
+// pendingActivation is the policy set that waits to become active. The zero value means that none is pending.
 type pendingActivation struct {
 	policySet  string // its fingerprint
 	term       uint64
@@ -31,7 +31,7 @@
 	waitingFor string
 }
 
-// tick surveys the mesh while a set is pending.
+// tick tracks the pending policy set, and surveys the mesh while there is one.
 func (a *policyActivator) tick(now time.Duration) {
 	rollout := a.replica.State().Policy.Rollout
 	if !a.replica.IsLeader() || !rollout.IsPending() {
@@ -46,13 +46,13 @@
 	}
 }
 
-// activate proposes to activate the pending set, if the sidecars' answers to the latest survey allow it.
+// activate proposes the activation of the pending policy set if the sidecars' answers to the latest survey allow it.
 func (a *policyActivator) activate() {
 	rollout := a.replica.State().Policy.Rollout
 	if !a.replica.IsReadyLeader() || a.pending.policySet != rollout.Agreed || a.pending.proposed || !rollout.IsPending() {
 		return
 	}
-	sidecars := a.surveyed()
+	sidecars := a.sidecarReports()
 	ready, waitingFor := rollout.CanActivate(sidecars, a.clock.now()-a.pending.since)
 	a.pending.waitingFor = waitingFor
 	if !ready {
@@ -66,15 +66,15 @@
 	}
 }
 
-// surveyed returns which set each sidecar has received, according to the latest survey.
-func (a *policyActivator) surveyed() (sidecars []policy.SidecarReport) {
+// sidecarReports returns which policy set each sidecar has received, according to the latest survey.
+func (a *policyActivator) sidecarReports() (sidecars []policy.SidecarReport) {
 	for _, record := range a.replica.Records().All() {
 		status := a.survey.status[record.Addr]
-		seen := policy.SidecarReport{Name: record.Node, Unresponsive: status == nil}
+		report := policy.SidecarReport{Name: record.Node, Unresponsive: status == nil}
 		if status != nil {
-			seen.Received = status.CommittedPolicy
+			report.Received = status.CommittedPolicy
 		}
-		sidecars = append(sidecars, seen)
+		sidecars = append(sidecars, report)
 	}
 	return sidecars
 }
--- a/internal/mesh/controlplane/policy_activation_test.go
+++ b/internal/mesh/controlplane/policy_activation_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, activator.pending, pendingActivation{})
 }
 
-// The state of an earlier leadership does not count: the time to wait for sidecars starts again.
+// A pending activation of an earlier term is discarded: the time to wait for sidecars starts again.
 func TestPendingActivationBelongsToATerm(t *testing.T) {
 	activator, leader := newTestActivator(t)
 	activator.pending.term--
--- a/internal/mesh/controlplane/policy_api.go
+++ b/internal/mesh/controlplane/policy_api.go
@@ -10,10 +10,10 @@
 	"cranegrade/internal/mesh/replica"
 )
 
-// Notice tells an owner what a change by another owner did to one of their policies.
+// Notice informs an owner how a change by another owner affected one of their policies.
 type Notice = replica.Notice
 
-// PolicyRequest asks how policies are rolled out. The JSON names are those of the former release.
+// PolicyRequest asks for the state of the policy rollout. The JSON names are those of the former release.
 type PolicyRequest struct {
 	Namespace string `json:"Namespace,omitempty" validate:"max=128"` // whose notices are asked for, or "" for all
 }
@@ -22,7 +22,7 @@
 type PolicyResponse struct {
 	Rollout    policy.Rollout   `json:"board"`
 	WaitingFor string           `json:"waits,omitempty"` // why the committed set is not active yet
-	Active     *config.Document `json:"bound,omitempty"` // the namespaces and policies that are active, where others are committed
+	Active     *config.Document `json:"bound,omitempty"` // the active namespaces and policies, if they differ from the committed ones
 	Notices    []Notice         `json:"notices"`
 	Leader     string           `json:"leader"`
 }
--- a/internal/mesh/controlplane/sidecars.go
+++ b/internal/mesh/controlplane/sidecars.go
@@ -2,9 +2,9 @@
 
 import "cranegrade/internal/mesh/transport"
 
-// sidecarSet holds the connections of sidecars and of observers, which are all that are not of other members. An observer is a client that
-// only asks and announces no address: meshctl, or the survey of the leader (statusConnections). It is sent what sidecars are sent, and
-// may ignore it. The set belongs to the loop's goroutine.
+// sidecarSet holds all inbound connections except those of other members: the connections of sidecars and of observers. An observer is a
+// client that only makes calls and announces no address: meshctl, or the leader's survey (statusConnections). Observers receive the same
+// broadcasts as sidecars and may ignore them. The set belongs to the loop's goroutine.
 type sidecarSet struct {
 	connections map[*transport.Conn]bool
 }
@@ -20,7 +20,7 @@
 // remove removes a connection that has ended.
 func (s *sidecarSet) remove(connection *transport.Conn) { delete(s.connections, connection) }
 
-// broadcast sends a frame on all connections. A connection that can't take it ends, and its sidecar connects again.
+// broadcast sends a frame on all connections. A connection on which that fails ends, and its sidecar reconnects.
 func (s *sidecarSet) broadcast(frame []byte) {
 	for connection := range s.connections {
 		_ = connection.SendFrame(frame)
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// statusTimeout is how long the loop's goroutine may take before a member reports that it hangs.
+	// statusTimeout is how long the loop's goroutine may take to answer before the member is reported as hanging.
 	statusTimeout = 500 * time.Millisecond
 	textHangs     = "it hangs, usually on its disk"
 )
@@ -19,7 +19,7 @@
 // answerStatus answers a call for this member's status, also while the loop's goroutine hangs, for instance on its disk. It starts two
 // goroutines, for which Run does not wait, since they would delay its end. The one that sends the reply ends within statusTimeout. The
 // one that posts ends once the task is queued, at the latest with the loop: while the loop hangs and its queue is full, one stays for each
-// call. Nothing here bounds their number. By reading, it stays small, since a full queue also blocks each new connection before its first
+// call. Nothing here bounds their number. In practice it stays small: a full queue also blocks each new connection before its first
 // call is received (serveConnection), so that only connections that were open before can call.
 func (m *Member) answerStatus(connection *transport.Conn, id uint64) {
 	done := make(chan *wire.StatusT, 1)
@@ -29,14 +29,14 @@
 		select {
 		case status = <-done:
 		case <-time.After(statusTimeout):
-			status = m.hangingStatus()
+			status = m.statusWithoutLoop()
 		}
 		_ = connection.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: codec.EncodeTable(status)})
 	}()
 }
 
-// hangingStatus returns the part of the status that is known without the loop's goroutine.
-func (m *Member) hangingStatus() *wire.StatusT {
+// statusWithoutLoop returns the part of the status that does not need the loop's goroutine.
+func (m *Member) statusWithoutLoop() *wire.StatusT {
 	set := m.settings.Load()
 	fault := m.writer.fault()
 	if fault == "" {
--- a/internal/mesh/controlplane/status_connections.go
+++ b/internal/mesh/controlplane/status_connections.go
@@ -8,12 +8,13 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// observerName is the name by which a survey introduces itself. Processes of the former release know it, so it has to stay.
+// observerName is the name by which a survey introduces itself. Processes of the former release recognize it, so it must not
+// change.
 const observerName = "night"
 
 // statusConnections holds the connections to sidecars and members, which are kept between surveys. Any goroutine may use it.
 type statusConnections struct {
-	mu        sync.Mutex // guards below
+	mu        sync.Mutex // guards the fields below
 	byAddress map[string]*transport.Client
 }
 
@@ -52,7 +53,7 @@
 	return connection, nil
 }
 
-// drop forgets the connection to a process.
+// drop removes the connection to a process.
 func (c *statusConnections) drop(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/controlplane/store.go
+++ b/internal/mesh/controlplane/store.go
@@ -11,20 +11,20 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// This file decides what a member does when its disk fails. A full disk, or any other transient error, is waited for, without a limit:
-// until the write succeeds nothing that depends on it is sent or acknowledged (Raft paper, section 5.6). A corrupted store is
-// discarded, and the member starts again under a new ID and learns everything from the others.
+// This file handles disk failures. After a full disk or another transient error a member retries without a limit: until the write succeeds
+// nothing that depends on it is sent or acknowledged (Raft paper, section 5.6). A corrupted store is discarded, and the member starts
+// again with a new ID and receives the whole state from the other members.
 
 const (
 	// diskRetryInterval is the time between two attempts at opening or writing the store.
 	diskRetryInterval = 100 * time.Millisecond
-	// diskRetriesPerLog is how many failed attempts at a write there are in a row for each that is logged.
+	// diskRetriesPerLog is the number of consecutive failed writes of which one is logged.
 	diskRetriesPerLog = 10
-	// maxDiscards is how often a corrupted store is discarded in a row. After one more the member gives up.
+	// maxDiscards is how often a corrupted store is discarded in a row. After one more failure the member gives up.
 	maxDiscards = 50
 )
 
-// openedStore is a store and what it held when it was opened.
+// openedStore is a store and its contents when it was opened.
 type openedStore struct {
 	store   *storage.Store
 	state   raft.StoredState
@@ -34,7 +34,7 @@
 
 // openStore opens the store in a folder. A corrupted store is treated like a lost disk: it is discarded and created again, since the other
 // members hold everything committed. If the store is unavailable, for instance because the disk is full, openStore retries without a
-// limit, since the store may hold the only copy left.
+// limit, since the store may have the only remaining copy.
 func openStore(folder storage.Folder, log zerolog.Logger) (opened openedStore, err error) {
 	for discards := 0; ; {
 		opened.store, opened.state, opened.empty, err = storage.OpenFolder(folder, storage.Options{})
@@ -78,11 +78,11 @@
 	store       *storage.Store
 	log         zerolog.Logger
 	terminating <-chan struct{}        // closed when the process is to end
-	diskFault   atomic.Pointer[string] // why the last write failed, or nil if it did not
+	diskFault   atomic.Pointer[string] // why the last write failed, or nil if it succeeded
 }
 
-// save writes and syncs what ready needs on disk. last is the index of the last entry on disk before. It retries until that succeeds or
-// the process shuts down, because without its disk a member may not acknowledge anything. It returns false if the state is not on disk.
+// save writes the state in ready and syncs it. last is the index of the last entry that is on disk already. It retries until that succeeds
+// or the process shuts down, because without its disk a member may not acknowledge anything. It returns false if the state is not on disk.
 func (w *stateWriter) save(ready raft.Ready, last uint64) bool {
 	for attempt := 0; ; attempt++ {
 		err := w.store.Save(ready, last)
@@ -119,7 +119,7 @@
 	}
 }
 
-// fault returns why the last write failed, or "" if it did not. Any goroutine may call it.
+// fault returns why the last write failed, or "" if it succeeded. Any goroutine may call it.
 func (w *stateWriter) fault() string {
 	if text := w.diskFault.Load(); text != nil {
 		return *text
--- a/internal/mesh/controlplane/store_test.go
+++ b/internal/mesh/controlplane/store_test.go
@@ -60,7 +60,7 @@
 	assert.Equal(t, writer.fault(), "")
 }
 
-func TestSaveGivesUpWhenTheProcessIsToEnd(t *testing.T) {
+func TestSaveStopsRetryingOnShutdown(t *testing.T) {
 	simulated := newDisk(t)
 	terminating := make(chan struct{})
 	close(terminating)
--- a/internal/mesh/controlplane/survey.go
+++ b/internal/mesh/controlplane/survey.go
@@ -17,7 +17,7 @@
 )
 
 // surveyor asks all members and sidecars for their status, for the leader's controllers. It belongs to the loop's goroutine; a survey
-// itself runs on another, so that a process that does not answer does not hold up the loop.
+// itself runs on another, so that a process that does not answer does not block the loop.
 type surveyor struct {
 	ctx         context.Context
 	loop        *eventLoop
@@ -25,7 +25,7 @@
 	replica     *replica.Replica
 	self        string // this member's address
 	ownStatus   func() *wire.StatusT
-	done        func() // called after each survey, once its own continuation has run
+	afterSurvey func() // called after each survey, following the callback given to start
 	background  *sync.WaitGroup
 	connections statusConnections
 
@@ -41,14 +41,14 @@
 	return !s.running && now-s.startedAt >= surveyInterval
 }
 
-// forget discards the results of surveys, because this member does not lead.
-func (s *surveyor) forget() {
+// discardResults discards the results of surveys when this member does not lead.
+func (s *surveyor) discardResults() {
 	s.connections.close()
 	s.status, s.samples = nil, nil
 }
 
-// start begins a survey. It calls then on the loop's goroutine once the survey is complete.
-func (s *surveyor) start(then func()) {
+// start begins a survey. It calls onComplete on the loop's goroutine once the survey has ended.
+func (s *surveyor) start(onComplete func()) {
 	s.running, s.startedAt = true, s.clock.now()
 	var addresses []string
 	for _, record := range s.replica.Records().All() {
@@ -64,27 +64,27 @@
 	}
 	own := s.ownStatus()
 	s.background.Go(func() {
-		found := s.ask(addresses, memberIDs, own)
+		result := s.ask(addresses, memberIDs, own)
 		s.loop.post(func() {
-			s.take(found)
-			then()
-			s.done()
+			s.storeResult(result)
+			onComplete()
+			s.afterSurvey()
 		})
 	})
 }
 
-// findings are what one survey found.
-type findings struct {
-	mu      sync.Mutex // guards below, while processes are asked
+// surveyResult is the result of one survey.
+type surveyResult struct {
+	mu      sync.Mutex // guards the fields below while processes are asked
 	status  map[string]*wire.StatusT
 	samples []maintenance.ClockSample
 }
 
-// ask asks all processes for their status, in parallel. It runs on a goroutine of its own.
-func (s *surveyor) ask(addresses []string, memberIDs map[string]uint64, own *wire.StatusT) *findings {
+// ask asks all processes for their status, in parallel. It does not run on the loop's goroutine.
+func (s *surveyor) ask(addresses []string, memberIDs map[string]uint64, own *wire.StatusT) *surveyResult {
 	ctx, cancel := context.WithTimeout(s.ctx, surveyTimeout)
 	defer cancel()
-	found := &findings{
+	result := &surveyResult{
 		status:  map[string]*wire.StatusT{s.self: own},
 		samples: []maintenance.ClockSample{{Member: memberIDs[s.self], Wall: s.clock.wall(), ReadAt: s.clock.now()}},
 	}
@@ -96,22 +96,22 @@
 			if err != nil {
 				return
 			}
-			found.add(address, status, memberIDs[address], asked, s.clock.now())
+			result.add(address, status, memberIDs[address], asked, s.clock.now())
 		})
 	}
 	all.Wait()
-	return found
+	return result
 }
 
 // add records a status and, if it is of a member, a sample of its clock, which is assumed to have been read in the middle of the round
 // trip.
-func (f *findings) add(address string, status *wire.StatusT, memberID uint64, asked, answered time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.status[address] = status
+func (r *surveyResult) add(address string, status *wire.StatusT, memberID uint64, asked, answered time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status[address] = status
 	if status.ControlPlane && status.WallTimeNs != 0 {
 		trip := answered - asked
-		f.samples = append(f.samples, maintenance.ClockSample{
+		r.samples = append(r.samples, maintenance.ClockSample{
 			Member:    memberID,
 			Wall:      time.Unix(0, status.WallTimeNs),
 			ReadAt:    asked + trip/2,
@@ -120,13 +120,13 @@
 	}
 }
 
-// take makes findings the results of the latest survey.
-func (s *surveyor) take(found *findings) {
-	s.running, s.status, s.samples = false, found.status, found.samples
+// storeResult records the result of the latest survey.
+func (s *surveyor) storeResult(result *surveyResult) {
+	s.running, s.status, s.samples = false, result.status, result.samples
 	if s.lastHeard == nil || len(s.lastHeard) > maxLastHeard {
 		s.lastHeard = map[string]time.Duration{}
 	}
-	for address := range found.status {
+	for address := range result.status {
 		s.lastHeard[address] = s.clock.now()
 	}
 }
