--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -19,7 +19,7 @@
 // answerStatus answers a call for this member's status, also while the loop's goroutine hangs, for instance on its disk. It starts two
 // goroutines, for which Run does not wait, since they would delay its end. The one that sends the reply ends within statusTimeout. The
 // one that posts ends once the task is queued, at the latest with the loop: while the loop hangs and its queue is full, one stays for each
-// call. Nothing here bounds their number. In practice it stays small: a full queue also blocks each new connection before its first
+// call. Nothing here bounds their number. It stays small, since a full queue also blocks each new connection before its first
 // call is received (serveConnection), so that only connections that were open before can call.
 func (m *Member) answerStatus(connection *transport.Conn, id uint64) {
 	done := make(chan *wire.StatusT, 1)
--- a/internal/mesh/topology/collect.go
+++ b/internal/mesh/topology/collect.go
@@ -21,21 +21,22 @@
 const (
 	// maxParallelQueries is the number of processes that are asked at the same time.
 	maxParallelQueries = 32
-	// completeHeartbeats is the number of heartbeats after which a member has announced everything. It is not 1, because
+	// heartbeatsUntilComplete is the number of heartbeats after which a member has sent all its announcements. It is not 1, because
 	// the first heartbeat may have been created before the connection.
-	completeHeartbeats = 2
-	// directoryTime is the time at which records are merged. Any value other than zero does.
-	directoryTime = time.Second
+	heartbeatsUntilComplete = 2
+	// mergeTime is the time passed when records are merged. Any value other than zero works.
+	mergeTime = time.Second
 )
 
-// Errors of Collect, besides those of the transport.
+// Errors of Collect, in addition to those of the transport.
 const (
 	ErrIncomplete = errors.ConstError("the announcements are incomplete")
 	ErrNotMember  = errors.ConstError("not a control-plane member")
 )
 
 // Collect asks a control-plane member, by its transport address, for the processes of the mesh, and then each of them for its status.
-// Those that do not answer before ctx ends are Unreachable. The error says that the member itself did not answer.
+// Those that do not answer before ctx ends are Unreachable. It returns an error if the process at addr does not answer, or is not a
+// control-plane member.
 func Collect(ctx context.Context, addr string) (Topology, error) {
 	t := Topology{AskedMember: addr}
 	announced := &announcements{complete: make(chan struct{})}
@@ -53,16 +54,16 @@
 	}
 	t.ConfigurationIndex = members.Index
 	t.readConfiguration(ctx, client)
-	q := &queries{held: map[string][]ItemVersion{}, slots: make(chan struct{}, maxParallelQueries)}
+	q := &queries{itemsByAddr: map[string][]ItemVersion{}, slots: make(chan struct{}, maxParallelQueries)}
 	t.Members = q.members(ctx, members.List)
 	t.Sidecars = q.sidecars(ctx, records)
 	q.running.Wait()
 	sort.Slice(t.Members, func(i, j int) bool { return t.Members[i].Addr < t.Members[j].Addr })
-	t.fillLag(q.held)
+	t.fillLag(q.itemsByAddr)
 	return t, nil
 }
 
-// readConfiguration reads the configuration, confirmed by a majority. If that fails, the topology has no items and routes.
+// readConfiguration reads the configuration that a majority confirms. If that fails, the topology has no items and no routes.
 func (t *Topology) readConfiguration(ctx context.Context, client *transport.Client) {
 	body, err := client.Call(ctx, codec.CallItems, nil)
 	if err != nil {
@@ -83,16 +84,16 @@
 
 // announcements collects what a member sends to every new connection.
 type announcements struct {
-	complete chan struct{} // closed once everything has been announced
+	complete chan struct{} // closed once all announcements have arrived
 
-	mu            sync.Mutex // guards below
+	mu            sync.Mutex // guards the fields below
 	members       *wire.MembersT
 	directory     directory.Table
 	quorumContact bool
 	heartbeats    int
 }
 
-// handle handles a message of the member.
+// handle records a message from the member.
 func (a *announcements) handle(message codec.Message) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,16 +101,16 @@
 	case *wire.MembersT:
 		a.members = value
 	case *wire.RecordsT:
-		a.directory, _ = a.directory.Merge(directoryTime, directory.FromWire(value))
+		a.directory, _ = a.directory.Merge(mergeTime, directory.FromWire(value))
 	case *wire.HeartbeatT:
 		a.quorumContact = value.QuorumContact
-		if a.heartbeats++; a.heartbeats == completeHeartbeats {
+		if a.heartbeats++; a.heartbeats == heartbeatsUntilComplete {
 			close(a.complete)
 		}
 	}
 }
 
-// await waits until everything has been announced.
+// await waits until all announcements have arrived.
 func (a *announcements) await(ctx context.Context, client *transport.Client) error {
 	select {
 	case <-a.complete:
@@ -120,8 +121,8 @@
 	return errors.WithType(ErrIncomplete, transport.ErrNoReply)
 }
 
-// read returns the members, or nil if the process is no control-plane member, and the records of sidecars. It sets what the
-// process says of its quorum contact.
+// read returns the members, or nil if the process is not a control-plane member, and the records of sidecars. It sets
+// t.QuorumContact as the process reported it.
 func (a *announcements) read(t *Topology) (*wire.MembersT, []directory.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -134,11 +135,11 @@
 	running sync.WaitGroup
 	slots   chan struct{}
 
-	mu   sync.Mutex               // guards held and serializes the callbacks of status
-	held map[string][]ItemVersion // items that each process has, by its address
+	mu          sync.Mutex               // guards itemsByAddr and serializes the callbacks of status
+	itemsByAddr map[string][]ItemVersion // the items that each process has
 }
 
-// members asks each member. The list is filled once running has ended.
+// members asks each member. The list is complete once q.running.Wait returns.
 func (q *queries) members(ctx context.Context, list []*wire.MemberT) []Member {
 	members := make([]Member, len(list))
 	for i, m := range list {
@@ -153,7 +154,7 @@
 	return members
 }
 
-// sidecars asks each sidecar. The list is filled once running has ended.
+// sidecars asks each sidecar. The list is complete once q.running.Wait returns.
 func (q *queries) sidecars(ctx context.Context, records []directory.Record) []Sidecar {
 	sidecars := make([]Sidecar, len(records))
 	for i, record := range records {
@@ -165,8 +166,9 @@
 	return sidecars
 }
 
-// status asks one process, and calls use with its status or with the reason why there is none. Calls of use do not overlap.
-func (q *queries) status(ctx context.Context, addr string, use func(status *wire.StatusT, unreachable string)) {
+// status asks one process, and calls onResult with its status or with the reason why there is none. Calls of onResult do not
+// overlap.
+func (q *queries) status(ctx context.Context, addr string, onResult func(status *wire.StatusT, unreachable string)) {
 	q.running.Go(func() {
 		q.slots <- struct{}{}
 		defer func() { <-q.slots }()
@@ -174,11 +176,11 @@
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		if err != nil {
-			use(nil, err.Error())
+			onResult(nil, err.Error())
 			return
 		}
-		q.held[addr] = itemVersions(status.ItemVersions)
-		use(status, "")
+		q.itemsByAddr[addr] = itemVersions(status.ItemVersions)
+		onResult(status, "")
 	})
 }
 
--- a/internal/mesh/topology/dot.go
+++ b/internal/mesh/topology/dot.go
@@ -26,7 +26,7 @@
 	fmt.Fprintln(w, "}")
 }
 
-// writeDOTMembers draws the members, and gives their numbers by their addresses.
+// writeDOTMembers draws the members, and returns the number of each member's node by its address.
 func (t Topology) writeDOTMembers(w io.Writer) map[string]int {
 	fmt.Fprintln(w, "  subgraph cluster_control_plane { label=\"control plane\";")
 	index := map[string]int{}
--- a/internal/mesh/topology/file.go
+++ b/internal/mesh/topology/file.go
@@ -7,13 +7,13 @@
 	"github.com/juju/errors"
 )
 
-// maxFileBytes is the most that Load reads.
+// maxFileBytes is the maximum number of bytes that Load reads.
 const maxFileBytes = 64 << 20
 
-// ErrFormat is the error of Load for a file that Save has not written, or that Save of another release has written.
+// ErrFormat is returned by Load for a file that was not written by Save, or by Save of another release.
 const ErrFormat = errors.ConstError("no saved topology of this release")
 
-// Save writes a topology as JSON, for Load.
+// Save writes a topology as JSON, which Load reads.
 func (t Topology) Save(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/mesh/topology/lag.go
+++ b/internal/mesh/topology/lag.go
@@ -1,7 +1,7 @@
 package topology
 
-// fillLag sets the lag of each process. held has the items of each process, by its address.
-func (t *Topology) fillLag(held map[string][]ItemVersion) {
+// fillLag sets the lag of each process. itemsByAddr has the items of each process.
+func (t *Topology) fillLag(itemsByAddr map[string][]ItemVersion) {
 	var latest uint64
 	for _, m := range t.Members {
 		latest = max(latest, m.AppliedIndex)
@@ -9,21 +9,21 @@
 	for i := range t.Members {
 		if m := &t.Members[i]; m.Unreachable == "" && m.Fault == "" {
 			m.LagEntries = latest - m.AppliedIndex
-			m.StaleItems = staleItems(t.Items, held[m.Addr])
+			m.StaleItems = staleItems(t.Items, itemsByAddr[m.Addr])
 		}
 	}
 	for i := range t.Sidecars {
 		if s := &t.Sidecars[i]; s.Unreachable == "" {
-			s.StaleItems = staleItems(t.Items, held[s.Addr])
+			s.StaleItems = staleItems(t.Items, itemsByAddr[s.Addr])
 		}
 	}
 }
 
-// staleItems returns the confirmed items of which a process holds an older version, or none.
-func staleItems(confirmed, held []ItemVersion) (stale []ItemVersion) {
+// staleItems returns the confirmed items that a process lacks, or of which it has an older version. own are the items of the process.
+func staleItems(confirmed, own []ItemVersion) (stale []ItemVersion) {
 	type key struct{ kind, name string }
 	versions := map[key]int64{}
-	for _, item := range held {
+	for _, item := range own {
 		versions[key{item.Kind, item.Name}] = item.Version
 	}
 	for _, item := range confirmed {
--- a/internal/mesh/topology/status.go
+++ b/internal/mesh/topology/status.go
@@ -18,7 +18,7 @@
 	stateDown     = "down"
 )
 
-// stateNames are the states of servers. A state that a later build has added has none.
+// stateNames are the states of servers. A state added by a later release has no name here.
 var stateNames = map[directory.ServerState]string{
 	directory.ServerNone:     stateNone,
 	directory.ServerReady:    stateReady,
@@ -26,7 +26,7 @@
 	directory.ServerDown:     stateDown,
 }
 
-// memberFromStatus returns a control-plane member according to its own status.
+// memberFromStatus converts the status that a control-plane member reports.
 func memberFromStatus(status *wire.StatusT) Member {
 	m := Member{
 		Process:      processFromStatus(status),
@@ -43,7 +43,7 @@
 	return m
 }
 
-// sidecarFromStatus combines a sidecar's record in the directory with its own status. status may be nil.
+// sidecarFromStatus combines a sidecar's record in the directory with the status that it reports, or nil if it did not answer.
 func sidecarFromStatus(record directory.Record, status *wire.StatusT) Sidecar {
 	s := Sidecar{
 		Service:  record.Service,
--- a/internal/mesh/topology/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -9,7 +9,7 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Measures of the drawing, in pixels.
+// Dimensions of the drawing, in pixels, and limits of its layout.
 const (
 	margin           = 20
 	headerHeight     = 46
@@ -20,15 +20,15 @@
 	routeRowHeight   = 34
 	weightBarWidth   = 220
 	warningRowHeight = 18
-	warningsGap      = 28 // from what is drawn above to the first line of the warnings
+	warningsGap      = 28 // from the drawing above to the first line of the warnings
 	titleBaseline    = 12 // of the first line, below the margin
 	zoneTitleOffset  = 20 // of a heading's baseline, below the top of its frame
 	routesOffset     = 30 // of the first route, below the top of the zones
 	weightBarHeight  = 18
 	weightBarGap     = 10 // between a route's text and its bar
-	maxWarnings      = 24 // warnings that are listed; the rest is counted
-	oneColumnCards   = 6  // most cards of a zone with one column
-	twoColumnCards   = 24 // most cards of a zone with two columns; larger zones have three
+	maxWarnings      = 24 // maximum number of warnings listed; further ones are only counted
+	oneColumnCards   = 6  // maximum number of cards of a zone with one column
+	twoColumnCards   = 24 // maximum number of cards of a zone with two columns; larger zones have three
 )
 
 // Styles of texts.
@@ -38,16 +38,16 @@
 	styleHeading = "font-family:sans-serif;font-size:13px;font-weight:bold;fill:#222"
 )
 
-// Fill colours, by state.
+// Fill colours, by the state of a member or server.
 const (
-	fillWell        = "#cfeccf"
+	fillHealthy     = "#cfeccf"
 	fillMember      = "#e4ecf6"
 	fillDegraded    = "#f6dd8f"
 	fillDown        = "#f4a7a0"
 	fillUnreachable = "#d0d0d0"
 )
 
-// palette has the colours by which services, and members, are distinguished.
+// palette has the colours that distinguish services, and members.
 var palette = []string{"#4878a8", "#c8743c", "#5a9a58", "#a05a8c", "#8c7a3c", "#3c9a9a", "#b84a4a", "#6a6ab0"}
 
 // colorOf returns the colour of a name among names, or grey if it is not one of them.
@@ -80,7 +80,7 @@
 	case s.IsUnavailable():
 		return fillDegraded
 	}
-	return fillWell
+	return fillHealthy
 }
 
 // drawing is the layout of a topology as SVG.
@@ -89,24 +89,24 @@
 	canvas   *svg.SVG
 	zones    []string
 	services []string
-	members  []string // their addresses, in order
+	members  []string // their addresses, in the order of Members
 	warnings []string
 
-	columns     int // of cards in a zone
-	memberRows  int // most members of a zone
-	zoneWidth   int
-	zoneHeight  int
-	zonesTop    int
-	routesLeft  int
-	routesBelow int // where the list of routes ends
-	width       int
+	columns      int // of cards in a zone
+	memberRows   int // members of the zone that has the most
+	zoneWidth    int
+	zoneHeight   int
+	zonesTop     int
+	routesLeft   int
+	routesBottom int // end of the list of routes
+	width        int
 }
 
-// WriteSVG draws the topology: a column for each zone with its members above its sidecars, lines between the members, each
-// sidecar with a dot in the colour of the member that it follows; the routes with their weights beside, the warnings below.
+// WriteSVG draws the topology as SVG. Each zone is a column with its members above its sidecars. Lines connect the members, and a dot on
+// each sidecar has the colour of the member that it follows. The routes with their weights are to the right, the warnings below.
 func (t Topology) WriteSVG(w io.Writer) {
 	d := newDrawing(t, svg.New(w))
-	listBottom := max(d.zonesTop+d.zoneHeight, d.routesBelow)
+	listBottom := max(d.zonesTop+d.zoneHeight, d.routesBottom)
 	shown := min(len(d.warnings), maxWarnings)
 	height := listBottom + 2*warningsGap + (shown+2)*warningRowHeight + margin
 	d.canvas.Start(d.width, height)
@@ -151,7 +151,7 @@
 	d.zoneHeight = headerHeight + d.memberRows*(memberHeight+cardGap) + rows*(cardHeight+cardGap) + cardGap
 	d.zonesTop = margin + headerHeight - 16
 	d.routesLeft = margin + len(d.zones)*(d.zoneWidth+margin)
-	d.routesBelow = d.zonesTop + routesOffset + len(t.Routes)*routeRowHeight
+	d.routesBottom = d.zonesTop + routesOffset + len(t.Routes)*routeRowHeight
 	d.width = d.routesLeft + 2*weightBarWidth + 2*margin
 	return d
 }
@@ -220,7 +220,7 @@
 	}
 	state := m.summary()
 	if m.Unreachable == "" && m.Fault == "" {
-		state = m.progress() // the first line has the role
+		state = m.progress() // without the role, which is in the first line
 	}
 	d.canvas.Text(x+8, y+17, truncate(role+m.displayName(), width-44), styleHeading)
 	d.canvas.Text(x+8, y+33, truncate(m.Addr, width-16), styleSmall)
--- a/internal/mesh/topology/svg_test.go
+++ b/internal/mesh/topology/svg_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// drawingDirEnv is the environment variable with a folder for the drawings of TestDrawingShowsEverything, for inspection.
+// drawingDirEnv names the environment variable with a folder to which TestDrawingShowsEverything writes its drawings for inspection.
 const drawingDirEnv = "TOPOLOGY_DRAWINGS"
 
-// The drawing of 16 and of 80 machines has every machine, route and warning, and nothing outside its borders.
+// The drawing of 16 and of 80 machines has every machine, route and warning.
 func TestDrawingShowsEverything(t *testing.T) {
 	for _, sidecars := range []int{13, 77} {
 		sample := sampleTopology(sidecars)
--- a/internal/mesh/topology/topology.go
+++ b/internal/mesh/topology/topology.go
@@ -1,8 +1,8 @@
-// Package topology is a snapshot of a whole mesh: the control-plane members and their leader, the sidecars by zone with their servers,
-// the routes, which process has which version of the configuration, and what is unavailable and why. Collect takes it from a running
-// mesh; a Topology can be saved, and drawn as text, for Graphviz, or as SVG.
+// Package topology takes and draws a snapshot of a whole mesh: the control-plane members and their leader, the sidecars by zone with their
+// servers, the routes, which process has which version of the configuration, and what is unavailable and why. Collect takes the snapshot
+// from a running mesh. A Topology can be saved, and drawn as text, for Graphviz, or as SVG.
 //
-// The package owns the warnings and drawings that operators see. It must never change a mesh: it only reads. Warnings and drawings are
+// The package owns the warnings and drawings that operators see. It only reads and must never change a mesh. Warnings and drawings are
 // computed from the fields of a Topology alone. Collect may be called by any goroutine; a Topology belongs to its caller.
 //
 // Sources: docs/mesh.md for what operators are shown; the DOT language of Graphviz, and SVG 1.1.
@@ -21,11 +21,11 @@
 	Members            []Member      `json:"members"`
 	Sidecars           []Sidecar     `json:"sidecars"`
 	Routes             []Route       `json:"routes"`
-	Items              []ItemVersion `json:"items"`                       // as a majority confirmed them; empty if it could not be asked
+	Items              []ItemVersion `json:"items"`                       // confirmed by a majority; empty if it could not be asked
 	PolicyFingerprint  string        `json:"policyFingerprint,omitempty"` // of the active policy set; empty if there is none
 }
 
-// Process is what every process reports about itself.
+// Process has the fields that members and sidecars have in common.
 type Process struct {
 	Name          string           `json:"name"`
 	Addr          string           `json:"addr"` // of its transport
@@ -43,7 +43,7 @@
 type Member struct {
 	Process
 	ID           uint64   `json:"id"`
-	IsMember     bool     `json:"isMember"` // it is a voter; otherwise it asks to join
+	IsMember     bool     `json:"isMember"` // it is a voter; otherwise it is asking to join
 	IsLeader     bool     `json:"isLeader"`
 	LeaderAddr   string   `json:"leaderAddr,omitempty"`
 	Term         uint64   `json:"term"`
@@ -66,7 +66,7 @@
 	Slots             int    `json:"slots"`
 	OpenRequests      int    `json:"openRequests"`                // at its server
 	PolicyFingerprint string `json:"policyFingerprint,omitempty"` // of its active policy set
-	Fenced            bool   `json:"fenced,omitempty"`            // it rejects requests because it could not confirm its policy set lately
+	Fenced            bool   `json:"fenced,omitempty"`            // it rejects requests, as it could not confirm its policy set recently
 }
 
 // IsUnavailable reports whether requests are not sent to its server.
@@ -154,7 +154,7 @@
 	return list
 }
 
-// displayName returns the process's name, or its address where that is all that is known.
+// displayName returns the process's name, or its address if the name is not known.
 func (p Process) displayName() string {
 	if p.Name == "" {
 		return p.Addr
@@ -162,17 +162,17 @@
 	return p.Name
 }
 
-// namedItems is how many items a text names at most.
-const namedItems = 3
+// maxNamedItems is the maximum number of items named in a text.
+const maxNamedItems = 3
 
-// describeItems names some items.
+// describeItems names the first items of a list, for warnings.
 func describeItems(items []ItemVersion) string {
 	var names []string
-	for _, item := range items[:min(namedItems, len(items))] {
+	for _, item := range items[:min(maxNamedItems, len(items))] {
 		names = append(names, strings.TrimSpace(item.Kind+" "+item.Name))
 	}
 	text := strings.Join(names, ", ")
-	if len(items) > namedItems {
+	if len(items) > maxNamedItems {
 		text += " and others"
 	}
 	return text
--- a/internal/mesh/topology/topology_test.go
+++ b/internal/mesh/topology/topology_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestWarnings(t *testing.T) {
-	well := func() Topology {
+	healthyMesh := func() Topology {
 		t := sampleTopology(4)
 		t.Sidecars[2].State, t.Sidecars[2].StateReason = stateReady, ""
 		return t
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(t *Topology)
 		want   []string
@@ -55,10 +55,10 @@
 			[]string{"server i-001eef of service-1 at sidecar-hall-1-1 is out (down): its port is closed", "service service-1 has no server"},
 		},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			mesh := well()
-			x.change(&mesh)
-			assert.DeepEqual(t, mesh.Warnings(), x.want)
+		t.Run(test.name, func(t *testing.T) {
+			mesh := healthyMesh()
+			test.change(&mesh)
+			assert.DeepEqual(t, mesh.Warnings(), test.want)
 		})
 	}
 }
@@ -67,12 +67,12 @@
 	mesh := sampleTopology(1)
 	mesh.Members[0].AppliedIndex = 1190
 	mesh.Items = []ItemVersion{{Kind: "route", Name: "a", Version: 2}, {Kind: "route", Name: "b", Version: 1}}
-	held := map[string][]ItemVersion{mesh.Members[0].Addr: {{Kind: "route", Name: "a", Version: 1}}}
+	itemsByAddr := map[string][]ItemVersion{mesh.Members[0].Addr: {{Kind: "route", Name: "a", Version: 1}}}
 	for _, m := range mesh.Members[1:] {
-		held[m.Addr] = mesh.Items
+		itemsByAddr[m.Addr] = mesh.Items
 	}
-	held[mesh.Sidecars[0].Addr] = mesh.Items[:1]
-	mesh.fillLag(held)
+	itemsByAddr[mesh.Sidecars[0].Addr] = mesh.Items[:1]
+	mesh.fillLag(itemsByAddr)
 	assert.Equal(t, mesh.Members[0].LagEntries, uint64(10))
 	assert.DeepEqual(t, mesh.Members[0].StaleItems, mesh.Items)
 	assert.Equal(t, len(mesh.Members[1].StaleItems), 0)
--- a/internal/mesh/topology/warnings.go
+++ b/internal/mesh/topology/warnings.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Warnings returns what an operator should look at, a line each. There are none if all is well.
+// Warnings returns the problems that need an operator's attention, one line each.
 func (t Topology) Warnings() (list []string) {
 	if !t.QuorumContact {
 		list = append(list, t.AskedMember+" is out of contact with a majority of the members: what it reported may be stale")
@@ -48,7 +48,7 @@
 	return ""
 }
 
-// warnings returns those of a sidecar and its server. fingerprint is that of the active policy set.
+// warnings returns the problems of a sidecar and its server. fingerprint identifies the active policy set.
 func (s Sidecar) warnings(fingerprint string) (list []string) {
 	add := func(text string) { list = append(list, "sidecar "+s.displayName()+" "+text) }
 	switch {
