--- a/internal/conncheck/conncheck.go
+++ b/internal/conncheck/conncheck.go
@@ -1,6 +1,6 @@
-// Package conncheck tells whether bytes have come on a TCP connection, or its end, without reading
-// them. Database drivers have such a check as well: a connection that its peer has closed must
-// not be used for another request.
+// Package conncheck reports, without consuming any bytes, whether a TCP connection has data to read or
+// was closed by its peer. Connection pools use it, as database drivers do, so that they do not send another
+// request on a connection that the peer has closed.
 package conncheck
 
 import (
@@ -10,9 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peek looks at what has come on a TCP connection. It neither waits nor takes anything away, so it may run
-// beside a reader. It returns nil if bytes can be read, syscall.EAGAIN if none have come, net.ErrClosed if
-// the peer has closed the connection, or else why nothing will come. conn must be a *net.TCPConn.
+// Peek reports whether a TCP connection has data to read. It neither blocks nor consumes data, so it may run
+// concurrently with a reader. It returns nil if bytes can be read, syscall.EAGAIN if none have arrived,
+// net.ErrClosed if the peer has closed the connection, and otherwise the error of the connection. conn must be
+// a *net.TCPConn.
 func Peek(conn net.Conn) error {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -21,8 +22,8 @@
 	var received int
 	var recvErr error
 	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		received, _, recvErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		received, _, recvErr = syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
@@ -35,11 +36,12 @@
 	return nil
 }
 
-// HasEnded reports whether the peer has closed a TCP connection, or it has failed, also while bytes that came before have not been read. It
-// neither waits nor takes anything away, so it may run beside a reader. It returns false for other connections than a *net.TCPConn.
+// HasEnded reports whether a TCP connection was closed by its peer or has failed, even if bytes that arrived
+// earlier are still unread. It neither blocks nor consumes data, so it may run concurrently with a reader. It
+// returns false for connections that are not a *net.TCPConn.
 func HasEnded(conn net.Conn) bool {
-	tcp, is := conn.(*net.TCPConn)
-	if !is {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
 		return false
 	}
 	raw, err := tcp.SyscallConn()
@@ -49,7 +51,7 @@
 	var events int16
 	err = raw.Control(func(fd uintptr) {
 		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		if _, err := unix.Poll(poll, 0); err == nil { // interrupted: asked again at the next call
+		if _, err := unix.Poll(poll, 0); err == nil { // on an error such as EINTR, the next call of HasEnded polls again
 			events = poll[0].Revents
 		}
 	})
--- a/internal/conncheck/conncheck_test.go
+++ b/internal/conncheck/conncheck_test.go
@@ -10,20 +10,20 @@
 	"cranegrade/internal/testkit"
 )
 
-// connect returns the two ends of a TCP connection.
+// connect returns both ends of a TCP connection over the loopback interface.
 func connect(t *testing.T) (client, server net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	client, err = net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	client, err = net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	server, err = l.Accept()
+	server, err = listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,25 +34,25 @@
 func TestPeek(t *testing.T) {
 	client, server := connect(t)
 	if err := Peek(client); !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("idle: %v", err)
+		t.Errorf("idle connection: %v", err)
 	}
 	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the byte does not come", func() bool { return Peek(client) == nil })
+	testkit.Eventually(t, "the byte does not arrive", func() bool { return Peek(client) == nil })
 	var b [1]byte
 	if _, err := io.ReadFull(client, b[:]); err != nil || b[0] != 'x' {
 		t.Errorf("the byte after Peek: %q, %v", b, err)
 	}
 	server.Close()
-	testkit.Eventually(t, "the end does not come", func() bool { return errors.Is(Peek(client), net.ErrClosed) })
+	testkit.Eventually(t, "the close does not arrive", func() bool { return errors.Is(Peek(client), net.ErrClosed) })
 	client.Close()
 	if err := Peek(client); err == nil || errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("closed by itself: %v", err)
+		t.Errorf("closed locally: %v", err)
 	}
 }
 
-// The end of a connection is seen behind bytes that have not been read, and those stay.
+// HasEnded detects the end of a connection while bytes before it are unread, and does not consume them.
 func TestHasEnded(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn) error{
 		"closed":      (*net.TCPConn).Close,
@@ -62,26 +62,26 @@
 		t.Run(name, func(t *testing.T) {
 			client, server := connect(t)
 			if HasEnded(client) {
-				t.Error("ended while it is idle")
+				t.Error("an idle connection is reported as ended")
 			}
 			if _, err := server.Write([]byte("x")); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Eventually(t, "the byte does not come", func() bool { return Peek(client) == nil })
+			testkit.Eventually(t, "the byte does not arrive", func() bool { return Peek(client) == nil })
 			if HasEnded(client) {
-				t.Error("ended while a byte can be read")
+				t.Error("a connection with a byte to read is reported as ended")
 			}
 			if err := end(server.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Eventually(t, "the end does not come", func() bool { return HasEnded(client) })
+			testkit.Eventually(t, "the close does not arrive", func() bool { return HasEnded(client) })
 			var b [1]byte
 			if _, err := io.ReadFull(client, b[:]); name != "reset" && (err != nil || b[0] != 'x') {
 				t.Errorf("the byte before the end: %q, %v", b, err)
 			}
 			client.Close()
 			if !HasEnded(client) {
-				t.Error("not ended after it was closed here")
+				t.Error("a locally closed connection is not reported as ended")
 			}
 		})
 	}
