--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A value that is accepted is a time over 0, and every other one is rejected.
+// ParseTimeLeft returns a positive duration for each value that it accepts, and 0 for each that it rejects.
 func FuzzTimeLeft(f *testing.F) {
 	for _, s := range []string{"480m", "1u", "0m", "-1m", "NaNm", "1e308u", "+Infm", "0x1pm", "", "m"} {
 		f.Add(s)
--- a/internal/message/stream_test.go
+++ b/internal/message/stream_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Chunks are taken in the order in which they were pushed, and each is reported as consumed.
+// Next returns the chunks in the order in which they were pushed, and reports each as consumed.
 func TestStreamProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var consumed atomic.Int64
@@ -40,30 +40,30 @@
 			total += len(p)
 		}
 		if consumed.Load() != int64(total) {
-			t.Fatalf("%d bytes reported as consumed, %d taken", consumed.Load(), total)
+			t.Fatalf("%d bytes reported as consumed, Next returned %d", consumed.Load(), total)
 		}
 	})
 }
 
-// After Release nothing is kept, and nothing is reported as consumed.
-func TestReleasedStreamKeepsNothing(t *testing.T) {
-	s := NewStream(nil, func(int) { t.Error("bytes are reported as consumed that were not taken") })
+// After Release, the stream buffers nothing and reports nothing as consumed.
+func TestReleasedStreamBuffersNothing(t *testing.T) {
+	s := NewStream(nil, func(int) { t.Error("bytes that Next never returned are reported as consumed") })
 	s.Push([]byte("abc"))
 	if s.Buffered() != 3 {
-		t.Errorf("%d bytes are kept", s.Buffered())
+		t.Errorf("%d bytes are buffered", s.Buffered())
 	}
 	s.Release()
 	s.Push([]byte("abc"))
 	if s.Buffered() != 0 {
-		t.Errorf("%d bytes are kept", s.Buffered())
+		t.Errorf("%d bytes are buffered", s.Buffered())
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cause := errors.New("cause")
 	cancel(cause)
 	if _, err := s.Next(ctx); !errors.Is(err, cause) {
-		t.Errorf("%v", err)
+		t.Errorf("Next with a cancelled context: %v", err)
 	}
 	if s.Finish(nil); s.Trailer() != nil {
-		t.Errorf("a stream that was cut off has the trailer %v", s.Trailer())
+		t.Errorf("a truncated stream has the trailer %v", s.Trailer())
 	}
 }
