--- a/internal/grpc/grpc.go
+++ b/internal/grpc/grpc.go
@@ -1,9 +1,9 @@
-// Package grpc knows what of gRPC over HTTP/2 (the document PROTOCOL-HTTP2 of the gRPC project) a proxy must understand:
-// time-outs, status codes, whether messages are complete, and what the end of a response proves. It is pure, and never looks
-// into a message.
+// Package grpc implements the parts of gRPC over HTTP/2 (the document PROTOCOL-HTTP2 of the gRPC project) that a proxy needs:
+// timeouts, status codes, message framing, and the classification of responses. It does no I/O and never parses the content
+// of a message.
 //
-// Files: grpc.go has content types and status codes, timeout.go the deadline of a request, status.go the status of a response
-// that the proxy makes itself, scanner.go the framing of messages, response.go the classification of a server's response.
+// Files: grpc.go has content types and status codes, timeout.go the timeout of a request, status.go the status of a response
+// that the proxy itself generates, scanner.go the framing of messages, response.go the classification of a server's response.
 package grpc
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Code is a status code of gRPC.
+// Code is a gRPC status code.
 type Code int
 
 // Status codes, with the numbers that gRPC defines.
@@ -35,13 +35,13 @@
 	Unauthenticated
 )
 
-// IsContentType reports whether a request or response with this content type is gRPC.
+// IsContentType reports whether a content type is that of a gRPC request or response.
 func IsContentType(s string) bool {
-	rest, is := strings.CutPrefix(strings.ToLower(s), "application/grpc")
-	return is && (rest == "" || rest[0] == '+' || rest[0] == ';')
+	suffix, ok := strings.CutPrefix(strings.ToLower(s), "application/grpc")
+	return ok && (suffix == "" || suffix[0] == '+' || suffix[0] == ';')
 }
 
-// CodeFromHTTP returns the status code for a request that was rejected with an HTTP status before any attempt.
+// CodeFromHTTP maps the HTTP status with which a request was rejected before any attempt to a gRPC status code.
 func CodeFromHTTP(status int) Code {
 	switch status {
 	case http.StatusBadRequest:
--- a/internal/grpc/grpc_test.go
+++ b/internal/grpc/grpc_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// A formatted time-out is parsed as no longer than it was, and as shorter by at most its last digit.
+// Formatting and parsing a timeout never lengthens it, and shortens one below an hour by at most 1 part in 10,000 plus 1 ns.
 func TestTimeoutRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := time.Duration(rapid.Int64Range(1, math.MaxInt64).Draw(t, "d"))
@@ -48,12 +48,12 @@
 	})
 }
 
-// frame returns a message of n bytes with its prefix.
+// frame returns a message of n zero bytes with its prefix.
 func frame(flag byte, n int) []byte {
 	return append([]byte{flag, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, make([]byte, n)...)
 }
 
-// However a body is split into chunks, its messages are the same.
+// The scanner counts the same messages however a body is split into chunks, and End fails unless the body ends on a boundary.
 func TestScannerProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var body []byte
@@ -98,7 +98,7 @@
 	return l
 }
 
-// What a response means to the decision module and to the caller.
+// Classify returns the ending for the balancer, and the code and status fields for the caller.
 func TestClassify(t *testing.T) {
 	head := fields("content-type", "application/grpc+proto")
 	body := func(b ...byte) (s Scanner) { s.Scan(b); return s }
@@ -221,7 +221,7 @@
 	}
 }
 
-// The details of a status are in the standard form, which gRPC libraries read.
+// The status details are an encoded google.rpc.Status with RetryInfo, which gRPC libraries can decode.
 func TestStatusHasRetryInfo(t *testing.T) {
 	fields := StatusFields(Unavailable, "100% full\n", 1500*time.Millisecond)
 	if fields[0].Value != "14" || fields[1].Value != "100%25 full%0A" || len(fields) != 3 {
@@ -241,7 +241,7 @@
 	}
 }
 
-// A time-out that is accepted is neither negative nor too long a text.
+// ParseTimeout accepts no text of more than maxDigits digits and a unit, and never returns a negative duration.
 func FuzzParseTimeout(f *testing.F) {
 	f.Add("5S")
 	f.Add("99999999H")
@@ -252,7 +252,7 @@
 	})
 }
 
-// A body in two chunks is judged as the same body in one.
+// A body scanned in two chunks has the same result as in one chunk.
 func FuzzScanner(f *testing.F) {
 	f.Add(frame(0, 3), 2)
 	f.Add([]byte{0, 255, 255, 255, 255, 1}, 1)
--- a/internal/grpc/response.go
+++ b/internal/grpc/response.go
@@ -12,11 +12,11 @@
 type Response struct {
 	Status          int // HTTP status
 	Header, Trailer []message.Field
-	Messages        Scanner // over the body
-	Malformed       bool    // the body is not made of messages
+	Messages        Scanner // after it has scanned the complete body
+	Malformed       bool    // the body is not a sequence of length-prefixed messages
 }
 
-// Verdict is what a response means.
+// Verdict is the classification of a response.
 type Verdict struct {
 	Ending balancer.Ending
 	Code   Code
@@ -34,10 +34,11 @@
 	return false
 }
 
-// Classify classifies a response, for the decision module and for the caller. A status that comes from the method itself, such
-// as INVALID_ARGUMENT or NOT_FOUND, shows a working service: it is a Success, and is passed on. A status that says that the
-// server is not able to serve is a Failure, and may be retried as the class allows. With x-unprocessed: 1, as on HTTP/1.1, the
-// request never ran. A response without a valid status proves nothing.
+// Classify classifies a response for the balancer and for the caller. A status that is a result of the method itself, such as
+// INVALID_ARGUMENT or NOT_FOUND, shows a working service: the ending is Success, and the status is forwarded. A status that
+// says that the server was not able to serve is a Failure, and may be retried as the request's class allows. UNAVAILABLE or
+// RESOURCE_EXHAUSTED with x-unprocessed: 1 and without messages is Overloaded: the request never ran. So is an HTTP 503 with
+// x-unprocessed: 1, as on HTTP/1.1. Any other response without a valid status is a Failure, and the request may have run.
 func Classify(response Response) Verdict {
 	fields := response.Trailer
 	if fields == nil {
@@ -64,13 +65,14 @@
 	return v
 }
 
-// statusFields are the fields that decide on a response.
+// statusFields are the fields that determine the classification of a response.
 type statusFields struct {
-	text        string // of the last grpc-status
-	count       int    // of grpc-status fields
-	unprocessed bool
+	text        string // value of the last grpc-status field
+	count       int    // number of grpc-status fields
+	unprocessed bool   // x-unprocessed is 1
 }
 
+// findStatus extracts the status fields from a field section.
 func findStatus(fields []message.Field) (s statusFields) {
 	for _, field := range fields {
 		switch field.Name {
@@ -84,8 +86,8 @@
 	return s
 }
 
-// isServerFailure reports whether a status shows that the server was not able to serve, rather than the result of the
-// method. Codes that gRPC does not define count as such.
+// isServerFailure reports whether a code means that the server was not able to serve, rather than being a result of the
+// method. Codes that gRPC does not define count as server failures.
 func (c Code) isServerFailure() bool {
 	switch c {
 	case Unknown, DeadlineExceeded, ResourceExhausted, Internal, Unavailable, DataLoss:
--- a/internal/grpc/status.go
+++ b/internal/grpc/status.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/message"
 )
 
-// StatusFields returns the status fields of a response that the proxy makes itself. retryAfter over 0 adds
+// StatusFields returns the status fields of a response that the proxy itself generates. A positive retryAfter adds
 // google.rpc.RetryInfo to the details of the status.
 func StatusFields(code Code, text string, retryAfter time.Duration) []message.Field {
 	fields := []message.Field{
@@ -28,7 +28,7 @@
 	}
 	details, err := encodeRetryInfo(code, text, retryAfter)
 	if err != nil {
-		return fields // without the advice; the status itself is complete
+		return fields // without RetryInfo; the status itself is complete
 	}
 	return append(fields, message.Field{Name: "grpc-status-details-bin", Value: details})
 }
@@ -50,7 +50,7 @@
 	return base64.RawStdEncoding.EncodeToString(encoded), nil
 }
 
-// EncodeMessage encodes the value of grpc-message: '%' and everything but printable ASCII becomes %XX.
+// EncodeMessage encodes the value of grpc-message: '%' and all bytes that are not printable ASCII become %XX.
 func EncodeMessage(s string) string {
 	var b strings.Builder
 	for i := range len(s) {
