--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -1,16 +1,17 @@
-// Package client is the client side of one HTTP/2 connection (RFC 9113) as a state machine: requests and the server's
-// frames go in, frames to write and endings of streams come out. It must never do I/O, read a clock or start a goroutine.
-// Framing and header compression are those of x/net's framer, in package sender/h2.
+// Package client implements the client side of one HTTP/2 connection (RFC 9113) as a state machine: its inputs are requests
+// and the server's frames, its outputs are frames to write and the endings of streams. It must never do I/O, read a clock or
+// start a goroutine. Package sender/h2 does the I/O, with the framer of golang.org/x/net for framing and header compression.
 //
-// Its purpose is to decide for each stream whether its request can have run. It can't if it was not written completely, if
-// the server refused the stream (REFUSED_STREAM), or if its id is above the last one that a GOAWAY names (section 8.7); in
-// all other cases it may have. Nothing is ever sent a second time.
+// For each stream, it decides whether the server may have run the request. The request never ran if it was not written
+// completely, if the server refused the stream (REFUSED_STREAM), or if the stream's id is above the last one in a GOAWAY
+// (section 8.7). In all other cases it may have run. A request whose body is sent in parts (RequestStreamed with open) may
+// run as soon as its HEADERS are written. This package never sends a request twice.
 //
-// A response body that is not streamed is limited by the stream's window, which is never opened again: the server can't
-// send more than Config.MaxBodyBytes.
+// The size of a response body that is not streamed is limited by the stream's receive window, which gets no WINDOW_UPDATE: the
+// server can't send more than Config.MaxBodyBytes.
 //
-// Files: client.go has the connection, stream.go the streams, flow.go flow control, receive.go the server's frames, and
-// frames.go the types of events and actions.
+// Files: client.go has the connection, stream.go the streams, flow.go flow control, receive.go the handling of the server's
+// frames, and frames.go the types of events and actions.
 package client
 
 import (
@@ -22,12 +23,12 @@
 	"time"
 )
 
-// Config holds the limits of a connection. A zero stands for the default.
+// Config contains the limits of a connection. A zero value means the default.
 type Config struct {
-	MaxStreams     int           // open at a time, even if the server allows more; default 100
-	MaxBodyBytes   int           // bytes of a response body; default 64 KiB
-	MaxHeaderBytes int           // bytes of its header, as section 6.5.2 counts them; default 16 KiB
-	PingAfter      time.Duration // time without a frame after which a request that asks for it waits for a PING; default 1 s
+	MaxStreams     int           // streams open at a time, even if the server allows more; default 100
+	MaxBodyBytes   int           // size of a response body; default 64 KiB
+	MaxHeaderBytes int           // size of a response header section, as defined in section 6.5.2; default 16 KiB
+	PingAfter      time.Duration // time without a frame from the server after which a request with pingFirst waits for a PING; default 1 s
 }
 
 // Field is a field of a header or trailer section.
@@ -41,13 +42,13 @@
 	Completed      Ending = iota // the response is complete
 	NotWritten                   // the request was not written completely
 	Refused                      // RST_STREAM with REFUSED_STREAM
-	AboveGoAway                  // above the last stream that a GOAWAY names
-	Reset                        // by the server, or for a malformed response, after it was written
-	ConnectionLost               // the connection ended after it was written
-	Cancelled                    // by Cancel, after it was written
+	AboveGoAway                  // the stream's id is above the last one in a GOAWAY
+	Reset                        // by the server, or for a malformed response, after the request was written
+	ConnectionLost               // the connection ended after the request was written
+	Cancelled                    // by Cancel, after the request was written
 )
 
-// String names an ending.
+// String returns the name of an ending.
 func (e Ending) String() string {
 	return [...]string{"completed", "not written", "refused", "above GOAWAY", "reset", "connection lost", "cancelled"}[e]
 }
@@ -58,54 +59,54 @@
 	Header   []Field // without pseudo-header fields
 	Trailer  []Field
 	Body     []byte
-	NoLength bool // there was no content-length
+	NoLength bool // the header has no content-length
 }
 
 const (
-	defaultStreams           = 100
-	defaultBodyBytes         = 64 << 10
-	defaultHeaderBytes       = 16 << 10
+	defaultMaxStreams        = 100
+	defaultMaxBodyBytes      = 64 << 10
+	defaultMaxHeaderBytes    = 16 << 10
 	defaultPingAfter         = time.Second
-	defaultWindow            = 65535                // initial, of connection and streams (RFC 9113, section 6.9.2)
-	defaultFrame             = 16384                // initial SETTINGS_MAX_FRAME_SIZE, which is also the least (section 6.5.2)
-	largestMaxFrame          = 1<<24 - 1            // largest SETTINGS_MAX_FRAME_SIZE (section 6.5.2)
-	maxWindow                = math.MaxInt32        // largest window (section 6.9.1)
-	connectionWindow         = 1 << 20              // to which the connection is opened at the start
-	maxStreamID              = 1<<31 - 1            // (section 5.1.1)
-	maxFramesWithoutProgress = 1000                 // in a row: frames that advance no stream
-	maxEmptyFrames           = 100                  // DATA frames of a stream without a byte
-	maxInterimResponses      = 10                   // interim responses of a stream
-	connectionWindowStep     = connectionWindow / 4 // bytes received after which the window is opened again
+	defaultWindow            = 65535                // initial window of connection and streams, in bytes (RFC 9113, section 6.9.2)
+	defaultMaxFrame          = 16384                // initial and smallest SETTINGS_MAX_FRAME_SIZE, in bytes (section 6.5.2)
+	largestMaxFrame          = 1<<24 - 1            // largest SETTINGS_MAX_FRAME_SIZE, in bytes (section 6.5.2)
+	maxWindow                = math.MaxInt32        // largest window, in bytes (section 6.9.1)
+	connectionWindow         = 1 << 20              // receive window of the connection, in bytes
+	maxStreamID              = 1<<31 - 1            // section 5.1.1
+	maxFramesWithoutProgress = 1000                 // consecutive frames that advance no stream
+	maxEmptyFrames           = 100                  // DATA frames without data, per stream
+	maxInterimResponses      = 10                   // per stream
+	connectionWindowStep     = connectionWindow / 4 // bytes received after which a WINDOW_UPDATE is sent
 )
 
 // Conn is the state of a connection. It is not safe for concurrent use: one goroutine owns it, or a lock guards it.
 type Conn struct {
 	cfg         Config
 	now         time.Duration
-	lastFrameAt time.Duration // when the last frame came
+	lastFrameAt time.Duration // when the last frame was received
 	nextID      uint32
 	streams     map[uint32]*stream
 	sendOrder   []uint32 // ids of streams with a body to send
 
 	sendWindow            int64 // bytes that may be sent on the connection
-	initialSendWindow     int64 // of new streams, by the server's SETTINGS
+	initialSendWindow     int64 // of new streams, from the server's SETTINGS
 	maxFrameSize          int   // largest payload that the server accepts
-	peerMaxStreams        int   // by the server's SETTINGS
-	unreturnedBytes       int64 // bytes received that no WINDOW_UPDATE of the connection has returned yet
-	framesWithoutProgress int   // in a row
+	peerMaxStreams        int   // from the server's SETTINGS
+	unreturnedBytes       int64 // bytes received since the last WINDOW_UPDATE for the connection
+	framesWithoutProgress int   // consecutive frames that advanced no stream
 	goingAway             bool
 	closed                bool
 	lastPing              uint64
-	awaitingPing          map[uint64][]uint32 // streams that wait for the answer to a PING, by its number
-	settingsReceived      bool                // the server's first SETTINGS came
+	awaitingPing          map[uint64][]uint32 // ids of the streams that wait for the ACK of a PING, by the PING's number
+	settingsReceived      bool                // the server's first SETTINGS was received
 	actions               []Action
 }
 
 // New returns a connection and its first frames, which follow the client's connection preface (section 3.4).
 func New(now time.Duration, cfg Config) (*Conn, []Action) {
-	cfg.MaxStreams = cmp.Or(cfg.MaxStreams, defaultStreams)
-	cfg.MaxBodyBytes = cmp.Or(cfg.MaxBodyBytes, defaultBodyBytes)
-	cfg.MaxHeaderBytes = cmp.Or(cfg.MaxHeaderBytes, defaultHeaderBytes)
+	cfg.MaxStreams = cmp.Or(cfg.MaxStreams, defaultMaxStreams)
+	cfg.MaxBodyBytes = cmp.Or(cfg.MaxBodyBytes, defaultMaxBodyBytes)
+	cfg.MaxHeaderBytes = cmp.Or(cfg.MaxHeaderBytes, defaultMaxHeaderBytes)
 	cfg.PingAfter = cmp.Or(cfg.PingAfter, defaultPingAfter)
 	c := &Conn{
 		cfg:               cfg,
@@ -115,7 +116,7 @@
 		streams:           map[uint32]*stream{},
 		sendWindow:        defaultWindow,
 		initialSendWindow: defaultWindow,
-		maxFrameSize:      defaultFrame,
+		maxFrameSize:      defaultMaxFrame,
 		peerMaxStreams:    cfg.MaxStreams,
 		awaitingPing:      map[uint64][]uint32{},
 	}
@@ -125,7 +126,7 @@
 	}
 }
 
-// StreamsAvailable returns how many streams may be opened now.
+// StreamsAvailable returns the number of streams that may be opened now.
 func (c *Conn) StreamsAvailable() int {
 	if c.closed || c.goingAway || c.nextID > maxStreamID {
 		return 0
@@ -133,21 +134,22 @@
 	return max(0, min(c.cfg.MaxStreams, c.peerMaxStreams)-len(c.streams))
 }
 
-// Open returns how many streams are open.
+// Open returns the number of open streams.
 func (c *Conn) Open() int { return len(c.streams) }
 
-// Closing reports whether no more streams can be opened: the connection is closed or going away, or its ids are used up.
+// Closing reports whether no more streams can be opened: the connection is closed, GOAWAY was received, or the
+// stream ids are used up.
 func (c *Conn) Closing() bool { return c.closed || c.goingAway || c.nextID > maxStreamID }
 
-// Request opens a stream, for which StreamsAvailable must be over 0. With pingFirst, on a connection without a frame for
-// Config.PingAfter, it waits for the answer to a PING, so that nothing of a request with effects is written to a dead one.
+// Request opens a stream; StreamsAvailable must be positive. With pingFirst, if no frame was received for Config.PingAfter,
+// the stream waits for the ACK of a PING, so that no part of a request with side effects is written to a dead connection.
 func (c *Conn) Request(now time.Duration, fields []Field, body []byte, pingFirst bool) (uint32, []Action) {
 	return c.request(now, &stream{fields: fields, body: body}, pingFirst)
 }
 
-// RequestStreamed is Request for a response that is passed on as it comes: Began, BodyChunks and then Done, whose Response
-// has no body. The server may send Config.MaxBodyBytes bytes beyond what Consumed has returned. The body of an open request is
-// continued by Append, after each Sent.
+// RequestStreamed is Request for a response whose body is forwarded as it arrives: as Began, BodyChunks and then Done, whose
+// Response has no body. The server may send Config.MaxBodyBytes bytes more than were reported to Consumed. If open is true,
+// Append continues the request body after each Sent.
 func (c *Conn) RequestStreamed(now time.Duration, fields []Field, body []byte, pingFirst, open bool) (uint32, []Action) {
 	return c.request(now, &stream{
 		fields:          fields,
@@ -158,16 +160,16 @@
 	}, pingFirst)
 }
 
-// Append continues the body of an open request after Sent; the last part ends it.
+// Append continues the body of a request that RequestStreamed opened, after Sent; the last part ends it.
 func (c *Conn) Append(now time.Duration, id uint32, part []byte, last bool) []Action {
 	c.now = max(c.now, now)
 	s := c.streams[id]
 	if s == nil || !s.moreToCome || c.closed {
-		return nil // it has ended
+		return nil // the stream or its request body has ended
 	}
 	s.body, s.moreToCome = append(s.body, part...), !last
 	if !s.headersWritten {
-		return nil // it is sent when the stream is opened
+		return nil // beginStreams sends the body after HEADERS
 	}
 	if last && len(s.body) == 0 {
 		s.endWritten = true
@@ -181,7 +183,7 @@
 	return c.takeActions()
 }
 
-// request registers a stream, and opens it or has it wait for a PING.
+// request registers a stream, and opens it or makes it wait for the ACK of a PING.
 func (c *Conn) request(now time.Duration, s *stream, pingFirst bool) (uint32, []Action) {
 	c.now = max(c.now, now)
 	s.id = c.nextID
@@ -207,7 +209,7 @@
 	return s.id, c.takeActions()
 }
 
-// emit adds an action.
+// emit appends an action to those that the current call returns.
 func (c *Conn) emit(a Action) { c.actions = append(c.actions, a) }
 
 // takeActions returns the actions since the last call.
@@ -217,36 +219,36 @@
 	return actions
 }
 
-// Close ends all remaining streams, because the connection has ended. unwritten are streams of which a write action was
-// returned but failed.
+// Close ends all remaining streams, because the connection has ended. unwritten are the ids of streams for which a write
+// action was returned but failed.
 func (c *Conn) Close(unwritten ...uint32) []Action {
 	c.closed = true
 	for _, id := range c.sortedIDs() {
 		s := c.streams[id]
 		delete(c.streams, id)
-		e := ConnectionLost
+		ending := ConnectionLost
 		if !s.mayHaveRun() || slices.Contains(unwritten, id) && !s.openedWithParts {
-			e = NotWritten
+			ending = NotWritten
 		}
-		c.emit(Done{Stream: id, Ending: e})
+		c.emit(Done{Stream: id, Ending: ending})
 	}
 	return c.takeActions()
 }
 
-// fail ends the connection with a connection error (RFC 9113, section 5.4.1). The text goes to the server in GOAWAY.
+// fail ends the connection with a connection error (RFC 9113, section 5.4.1). GOAWAY carries the text to the server.
 func (c *Conn) fail(code uint32, format string, args ...any) {
 	c.closed = true
 	c.emit(ConnectionError{code, fmt.Sprintf(format, args...)})
 }
 
-// Handle takes a frame of the server. After a connection error it has no effect.
+// Handle processes a frame from the server. It has no effect after a connection error or Close.
 func (c *Conn) Handle(now time.Duration, e Event) []Action {
 	if c.closed {
 		return nil
 	}
 	c.now = max(c.now, now)
 	c.lastFrameAt = c.now
-	if _, is := e.(Settings); !is && !c.settingsReceived {
+	if _, ok := e.(Settings); !ok && !c.settingsReceived {
 		c.fail(codeProtocol, "the first frame is no SETTINGS")
 		return c.takeActions()
 	}
--- a/internal/h2/client/client_test.go
+++ b/internal/h2/client/client_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For each way in which a stream can end: whether its request can have run.
+// Each way in which a stream can end is reported with the Ending that says whether the request may have run.
 func TestEndings(t *testing.T) {
 	body := []byte(strings.Repeat("x", 40_000))
 	for _, c := range []struct {
@@ -208,7 +208,7 @@
 	}
 }
 
-// A connection error ends the connection, and every request that was written may have run.
+// Illegal frames are connection errors. Requests that were written then end as ConnectionLost, since they may have run.
 func TestConnectionErrors(t *testing.T) {
 	for name, e := range map[string]Event{
 		"HEADERS on an idle stream":              response(3, true),
@@ -243,15 +243,15 @@
 	}
 }
 
-// GOAWAY with 50 open streams, half of them above its last stream: that half never ran, the other half continues.
-func TestGoAwayEndsStreamsAboveItsLast(t *testing.T) {
+// GOAWAY with 50 open streams, half of them above its last id: that half ends as AboveGoAway, the other half continues.
+func TestGoAwayEndsStreamsAboveLastID(t *testing.T) {
 	conn := newTestConn(t, Config{}, Settings{})
 	for range 50 {
 		conn.Request(0, getFields, nil, false)
 	}
 	l := conn.Handle(0, GoAway{Last: 49})
 	if n := strings.Count(endings(l), "above GOAWAY"); n != 25 {
-		t.Errorf("%d streams never ran, want 25", n)
+		t.Errorf("%d streams are above GOAWAY, want 25", n)
 	}
 	if conn.StreamsAvailable() != 0 || !conn.Closing() || conn.Open() != 25 {
 		t.Errorf("%d streams available, closing %v, %d open", conn.StreamsAvailable(), conn.Closing(), conn.Open())
@@ -264,8 +264,8 @@
 	}
 }
 
-// A flood of frames ends the connection at a limited cost.
-func TestFloodsEndTheConnection(t *testing.T) {
+// A flood of frames that advance no stream ends the connection, and a flood of empty DATA frames resets the stream.
+func TestFrameFloodEndsConnection(t *testing.T) {
 	for name, e := range map[string]Event{
 		"PING":                          Ping{},
 		"SETTINGS":                      Settings{},
@@ -295,36 +295,36 @@
 	}
 }
 
-// On a quiet connection, a request that must not run twice waits for the answer to a PING. Those behind it wait as well, since
-// streams are opened in order.
-func TestCarefulRequestWaitsForPing(t *testing.T) {
+// On an idle connection, a request with pingFirst waits for the ACK of a PING. Later requests wait as well, since streams are
+// opened in order.
+func TestRequestWithPingFirstWaitsForACK(t *testing.T) {
 	conn := newTestConn(t, Config{PingAfter: time.Second}, Settings{})
 	opened := func(l []Action) (n int) {
 		for _, a := range l {
-			if _, is := a.(WriteHeaders); is {
+			if _, ok := a.(WriteHeaders); ok {
 				n++
 			}
 		}
 		return n
 	}
 	_, l := conn.Request(2*time.Second, getFields, []byte("x"), true)
-	ping, is := l[0].(WritePing)
-	if !is || opened(l) != 0 {
+	ping, ok := l[0].(WritePing)
+	if !ok || opened(l) != 0 {
 		t.Fatalf("%v", l)
 	}
 	if _, l := conn.Request(2*time.Second, getFields, nil, false); opened(l) != 0 {
-		t.Errorf("a stream behind it was opened: %v", l)
+		t.Errorf("a later stream was opened: %v", l)
 	}
 	if l := conn.Handle(2*time.Second, Ping{Ack: true}); opened(l) != 0 {
-		t.Error("the answer to another PING opened the stream")
+		t.Error("the ACK of another PING opened the stream")
 	}
 	if l := conn.Handle(2*time.Second, Ping{Ack: true, Data: ping.Data}); opened(l) != 2 {
-		t.Errorf("after the answer to the PING: %v", l)
+		t.Errorf("after the ACK of the PING: %v", l)
 	}
 	if _, l := conn.Request(2500*time.Millisecond, getFields, nil, true); opened(l) != 1 {
 		t.Errorf("on a connection that received a frame recently: %v", l)
 	}
-	// If the connection ends first, nothing was written.
+	// If the connection ends before the ACK, nothing was written.
 	conn = newTestConn(t, Config{PingAfter: time.Second}, Settings{})
 	conn.Request(2*time.Second, getFields, nil, true)
 	conn.Request(2*time.Second, getFields, nil, false)
--- a/internal/h2/client/flow.go
+++ b/internal/h2/client/flow.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Consumed says that n bytes of a streamed response body have been read, so that the server may send as many again.
+// Consumed reports that n bytes of a streamed response body were consumed, so that the server may send as many more.
 func (c *Conn) Consumed(now time.Duration, id uint32, n int) []Action {
 	c.now = max(c.now, now)
 	s := c.streams[id]
 	if s == nil || c.closed {
-		return nil // it has ended, and its window with it
+		return nil // the stream has ended, and needs no WINDOW_UPDATE
 	}
 	c.returnWindow(s, n)
 	return c.takeActions()
 }
 
-// returnWindow opens a stream's receive window again, in steps of a quarter, to save frames.
+// returnWindow returns n bytes to a stream's receive window. It sends a WINDOW_UPDATE only for each quarter of the window, to
+// save frames.
 func (c *Conn) returnWindow(s *stream, n int) {
 	if s.unreturned += n; s.unreturned >= c.cfg.MaxBodyBytes/4 {
 		s.receiveWindow += s.unreturned
@@ -25,8 +26,8 @@
 	}
 }
 
-// sendBodies writes what the windows of connection and streams allow of the request bodies (RFC 9113, section 6.9), in
-// the order of their streams.
+// sendBodies writes as much of the request bodies as the send windows of the connection and the streams allow (RFC 9113,
+// section 6.9), in the order of sendOrder.
 func (c *Conn) sendBodies() {
 	for i := 0; i < len(c.sendOrder); {
 		s := c.streams[c.sendOrder[i]]
@@ -59,8 +60,8 @@
 	}
 }
 
-// windowUpdate opens a send window (RFC 9113, section 6.9). An increment of zero and a window over 2^31-1 are errors, of
-// the connection or of the stream (section 6.9.1).
+// windowUpdate enlarges a send window (RFC 9113, section 6.9). An increment of zero or a window over 2^31-1 is a connection
+// error or a stream error (section 6.9.1).
 func (c *Conn) windowUpdate(e WindowUpdate) {
 	if e.Stream == 0 {
 		if e.Add == 0 {
--- a/internal/h2/client/flow_test.go
+++ b/internal/h2/client/flow_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever SETTINGS and WINDOW_UPDATE come: no more is sent than they allow, every byte of a body is sent once and in
-// order, each stream ends once, and no state of it remains.
+// With any sequence of SETTINGS, WINDOW_UPDATE and other frames: no more is sent than the windows allow, no byte of a body is
+// sent twice, streams are opened in order, each stream ends once, and no state of it remains.
 func TestFlowControlProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conn := newTestConn(t,
@@ -79,7 +79,7 @@
 				}
 				n := rapid.IntRange(0, 200).Draw(t, "body")
 				streams[conn.nextID] = &state{body: n, window: initial}
-				_, l := conn.Request(conn.now, getFields, make([]byte, n), rapid.Bool().Draw(t, "careful"))
+				_, l := conn.Request(conn.now, getFields, make([]byte, n), rapid.Bool().Draw(t, "pingFirst"))
 				check(l)
 			},
 			"time": func(t *rapid.T) { conn.now += time.Second },
@@ -151,7 +151,7 @@
 	})
 }
 
-// Whatever frames come, in whatever order with requests: each stream ends exactly once.
+// With any sequence of frames and requests, each stream ends exactly once.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11})
 	f.Add([]byte{4, 0, 1, 1, 200, 2, 1, 9, 3, 1, 7})
@@ -160,7 +160,7 @@
 		open := map[uint32]bool{}
 		done := func(l []Action) {
 			for _, a := range l {
-				if d, is := a.(Done); is {
+				if d, ok := a.(Done); ok {
 					if !open[d.Stream] {
 						t.Fatalf("stream %d ends, but was not open", d.Stream)
 					}
--- a/internal/h2/client/frames.go
+++ b/internal/h2/client/frames.go
@@ -10,16 +10,16 @@
 	codeEnhanceYourCalm = 0xb
 )
 
-// Status codes that decide how a response is framed (RFC 9110, section 15).
+// HTTP status codes that affect how a response is framed (RFC 9110, section 15).
 const (
-	statusSwitchingProtocols = 101 // not in HTTP/2 (RFC 9113, section 8.6)
-	statusOK                 = 200 // the first one that is final
-	statusNotModified        = 304 // without a body, whatever length it declares
+	statusSwitchingProtocols = 101 // not allowed in HTTP/2 (RFC 9113, section 8.6)
+	statusOK                 = 200 // the smallest one of a final response
+	statusNotModified        = 304 // has no body, whatever content-length it declares
 )
 
-// Events are the frames of the server, as a framer reads them (RFC 9113, section 6).
+// Events are the frames from the server, as the framer decodes them (RFC 9113, section 6).
 type (
-	// Settings is SETTINGS; a nil parameter was not in the frame.
+	// Settings is SETTINGS; a parameter that the frame does not contain is nil.
 	Settings struct {
 		Ack                                 bool
 		MaxStreams, InitialWindow, MaxFrame *uint32
@@ -30,7 +30,7 @@
 		Fields []Field
 		End    bool
 	}
-	// Data is DATA; Padded is how many bytes of padding count in flow control beside Bytes (section 6.1).
+	// Data is DATA; Padded is the number of padding bytes, which flow control counts in addition to Bytes (section 6.1).
 	Data struct {
 		Stream uint32
 		Bytes  []byte
@@ -41,74 +41,74 @@
 	RSTStream struct{ Stream, Code uint32 }
 	// GoAway is GOAWAY.
 	GoAway struct{ Last, Code uint32 }
-	// WindowUpdate is WINDOW_UPDATE; Stream 0 is the connection.
+	// WindowUpdate is WINDOW_UPDATE; Stream 0 means the connection.
 	WindowUpdate struct{ Stream, Add uint32 }
 	// Ping is PING.
 	Ping struct {
 		Ack  bool
 		Data [8]byte
 	}
-	// Malformed is a stream error that the framer has found (section 5.4.2).
+	// Malformed is a stream error that the framer detected (section 5.4.2).
 	Malformed struct{ Stream, Code uint32 }
 	// OtherFrame is any other frame. PUSH_PROMISE is a connection error, since push is disabled; the rest is ignored.
 	OtherFrame struct{ Push bool }
 )
 
-// Event is one of the types above.
+// Event is one of the event types above.
 type Event any
 
-// Actions are performed in order. After a write that fails, the caller calls Close with the streams whose last bytes were in
-// the same batch of actions.
+// Actions must be performed in order. If a write fails, the caller must call Close with the ids of the streams whose last
+// bytes were in the same batch of actions.
 type (
 	// WriteSettings writes the first SETTINGS.
 	WriteSettings struct{ InitialWindow, MaxHeader uint32 }
 	// WriteSettingsAck acknowledges SETTINGS (section 6.5.3).
 	WriteSettingsAck struct{}
-	// WriteHeaders opens a stream.
+	// WriteHeaders writes HEADERS, which opens a stream.
 	WriteHeaders struct {
 		Stream uint32
 		Fields []Field
 		End    bool
 	}
-	// WriteData writes a part of a body.
+	// WriteData writes DATA, with a part of a request body.
 	WriteData struct {
 		Stream uint32
 		Bytes  []byte
 		End    bool
 	}
-	// WriteRSTStream is RST_STREAM.
+	// WriteRSTStream writes RST_STREAM.
 	WriteRSTStream struct{ Stream, Code uint32 }
-	// WriteWindowUpdate is WINDOW_UPDATE.
+	// WriteWindowUpdate writes WINDOW_UPDATE; Stream 0 means the connection.
 	WriteWindowUpdate struct{ Stream, Add uint32 }
-	// WritePing is PING.
+	// WritePing writes PING.
 	WritePing struct {
 		Ack  bool
 		Data [8]byte
 	}
-	// Began says that the first bytes of a streamed response body have come; Response has its status and header.
+	// Began reports that the first bytes of a streamed response body were received; Response has the status and header.
 	Began struct {
 		Stream   uint32
 		Response Response
 	}
-	// BodyChunk is a part of a streamed response body. Consumed opens the stream's window by its bytes again.
+	// BodyChunk is a part of a streamed response body, to be reported to Consumed once its reader has consumed it.
 	BodyChunk struct {
 		Stream uint32
 		Bytes  []byte
 	}
-	// Sent says that all there was of an open request body is written: Append may follow.
+	// Sent reports that all appended parts of a request body are written, and that Append may be called.
 	Sent struct{ Stream uint32 }
-	// Done ends a stream. It comes exactly once for each.
+	// Done reports the end of a stream, exactly once for each stream.
 	Done struct {
 		Stream   uint32
 		Ending   Ending
-		Response Response // with Completed
+		Response Response // set only if Ending is Completed
 	}
-	// ConnectionError is a connection error (section 5.4.1): GOAWAY with the code is to be written, and Close to be called.
+	// ConnectionError is a connection error (section 5.4.1): the caller must write GOAWAY with the code and call Close.
 	ConnectionError struct {
 		Code uint32
 		Text string
 	}
 )
 
-// Action is one of the types above.
+// Action is one of the action types above.
 type Action any
--- a/internal/h2/client/helpers_test.go
+++ b/internal/h2/client/helpers_test.go
@@ -24,11 +24,11 @@
 
 var getFields = []Field{{":method", "GET"}, {":path", "/"}}
 
-// endings formats the endings among actions.
+// endings formats the stream ids and endings of the Done actions.
 func endings(l []Action) string {
 	var out []string
 	for _, a := range l {
-		if d, is := a.(Done); is {
+		if d, ok := a.(Done); ok {
 			out = append(out, fmt.Sprintf("%d %v", d.Stream, d.Ending))
 		}
 	}
@@ -38,14 +38,14 @@
 // failure returns the text of the connection error among actions, or "" if there is none.
 func failure(l []Action) string {
 	for _, a := range l {
-		if f, is := a.(ConnectionError); is {
+		if f, ok := a.(ConnectionError); ok {
 			return f.Text
 		}
 	}
 	return ""
 }
 
-// response is a response with the status 200 and these further names and values.
+// response returns the HEADERS of a response with the status 200 and these further field names and values.
 func response(stream uint32, end bool, more ...string) Headers {
 	h := Headers{Stream: stream, Fields: []Field{{":status", "200"}}, End: end}
 	for i := 0; i < len(more); i += 2 {
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// settings applies SETTINGS (RFC 9113, section 6.5). A change of SETTINGS_INITIAL_WINDOW_SIZE moves the windows of all
-// open streams, possibly below zero (section 6.9.2).
+// settings applies SETTINGS (RFC 9113, section 6.5). A change of SETTINGS_INITIAL_WINDOW_SIZE changes the send
+// windows of all open streams by the difference, possibly below zero (section 6.9.2).
 func (c *Conn) settings(e Settings) {
 	c.settingsReceived = true
 	if e.Ack {
@@ -17,7 +17,7 @@
 		c.peerMaxStreams = int(min(*e.MaxStreams, math.MaxInt32))
 	}
 	if e.MaxFrame != nil {
-		if *e.MaxFrame < defaultFrame || *e.MaxFrame > largestMaxFrame {
+		if *e.MaxFrame < defaultMaxFrame || *e.MaxFrame > largestMaxFrame {
 			c.fail(codeProtocol, "SETTINGS_MAX_FRAME_SIZE of %d", *e.MaxFrame)
 			return
 		}
@@ -41,18 +41,18 @@
 	c.sendBodies()
 }
 
-// idleStream reports whether a stream is in the state idle, or not one that a client opens: frames on it are a connection error
-// (RFC 9113, section 5.1).
+// idleStream reports whether a stream id is still unused, or is one that only a server may open. A frame on such a stream is a
+// connection error (RFC 9113, section 5.1).
 func (c *Conn) idleStream(id uint32) bool { return id%2 == 0 || id >= c.nextID }
 
-// headers takes a field section: interim response, final response or trailers (RFC 9113, section 8.1).
+// headers processes a field section: an interim response, a final response or trailers (RFC 9113, section 8.1).
 func (c *Conn) headers(e Headers) {
 	s := c.streams[e.Stream]
 	if s == nil {
 		if c.idleStream(e.Stream) {
 			c.fail(codeProtocol, "HEADERS on stream %d, which was not opened", e.Stream)
 		}
-		return // a cancelled stream; its fields had to be decoded, to keep the state of the compression (section 4.3)
+		return // the stream has ended; the framer still decoded its fields, to update the compression state (section 4.3)
 	}
 	if !s.headersWritten {
 		c.fail(codeProtocol, "HEADERS on stream %d, which was not begun", e.Stream)
@@ -89,7 +89,7 @@
 	}
 }
 
-// trailers takes the trailer section, which ends the stream and has no pseudo-header fields (RFC 9113, section 8.1).
+// trailers processes the trailer section, which must end the stream and have no pseudo-header fields (RFC 9113, section 8.1).
 func (c *Conn) trailers(s *stream, e Headers) {
 	for _, f := range e.Fields {
 		if f.Name == "" || f.Name[0] == ':' {
@@ -105,7 +105,8 @@
 	c.completeResponse(s)
 }
 
-// readContentLength notes the declared length. It returns false if that is invalid, or declared twice with different values.
+// readContentLength stores the declared content length. It returns false if a content-length is invalid, or if there are two
+// different ones.
 func (s *stream) readContentLength(fields []Field) bool {
 	for _, f := range fields {
 		if f.Name != "content-length" {
@@ -148,8 +149,8 @@
 	return status, section[1:], true
 }
 
-// isValidName reports whether a field may have this name: in lower case and printable (RFC 9113, section 8.2.1), and
-// not specific to a connection (section 8.2.2).
+// isValidName reports whether a field name is in lower case and printable (RFC 9113, section 8.2.1), and not that of a
+// connection-specific field (section 8.2.2).
 func isValidName(name string) bool {
 	for i := range len(name) {
 		if b := name[i]; b <= ' ' || b >= 0x7f || 'A' <= b && b <= 'Z' {
@@ -163,8 +164,8 @@
 	return true
 }
 
-// completeResponse ends a stream whose response is complete. A response may end before the request does; the rest of the
-// request body is then not sent, and RST_STREAM with NO_ERROR says so (RFC 9113, section 8.1).
+// completeResponse ends a stream whose response is complete. If the request is not written completely by then, the rest of its
+// body is not sent, and RST_STREAM with NO_ERROR tells the server so (RFC 9113, section 8.1).
 func (c *Conn) completeResponse(s *stream) {
 	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.response.Status != statusNotModified {
 		c.resetStream(s, codeProtocol)
@@ -176,10 +177,10 @@
 	c.endStream(s, Completed)
 }
 
-// data takes a part of a response body (RFC 9113, section 6.1).
+// data processes a part of a response body (RFC 9113, section 6.1).
 func (c *Conn) data(e Data) {
 	n := len(e.Bytes) + e.Padded
-	// The connection's window counts whatever becomes of the stream (section 6.9), and is opened again in steps.
+	// DATA counts against the connection's window even if its stream has ended (section 6.9).
 	if c.unreturnedBytes += int64(n); c.unreturnedBytes >= connectionWindowStep {
 		c.emit(WriteWindowUpdate{0, uint32(c.unreturnedBytes)})
 		c.unreturnedBytes = 0
@@ -225,7 +226,7 @@
 	}
 }
 
-// reset takes RST_STREAM. REFUSED_STREAM proves that the request was not processed (RFC 9113, section 8.7).
+// reset processes RST_STREAM. REFUSED_STREAM proves that the request was not processed (RFC 9113, section 8.7).
 func (c *Conn) reset(e RSTStream) {
 	s := c.streams[e.Stream]
 	if s == nil {
@@ -236,18 +237,18 @@
 	}
 	c.framesWithoutProgress = 0
 	switch {
-	case e.Code == codeRefusedStream && !s.finalHeaders: // once a response has begun the request was processed, whatever the code
+	case e.Code == codeRefusedStream && !s.finalHeaders: // after a final response's HEADERS, the request was processed, whatever the code
 		c.endStream(s, Refused)
 	case !s.mayHaveRun():
-		c.endStream(s, NotWritten) // the rest of it will not be sent
+		c.endStream(s, NotWritten) // the rest of the request will not be sent
 	default:
 		c.endStream(s, Reset)
 	}
 }
 
-// goAway takes GOAWAY: streams above its last one were not processed (RFC 9113, section 6.8). For a graceful shutdown a
-// server sends a first one that names the largest id, and a second one later. It must not raise the last stream; if it
-// does, nothing is lost by that.
+// goAway processes GOAWAY: streams above its last id were not processed (RFC 9113, section 6.8). For a graceful shutdown, a
+// server sends a first GOAWAY with the largest possible id, and a second one later. A later GOAWAY must not raise the last id;
+// one that does is harmless, since the streams above the lower id have already ended.
 func (c *Conn) goAway(e GoAway) {
 	c.goingAway = true
 	for _, id := range c.sortedIDs() {
@@ -257,15 +258,15 @@
 	}
 }
 
-// ping answers a PING (RFC 9113, section 6.7), or opens the streams that waited for the answer to ours.
+// ping answers a PING (RFC 9113, section 6.7), or opens the streams that waited for the ACK of one sent here.
 func (c *Conn) ping(e Ping) {
 	if !e.Ack {
 		c.emit(WritePing{Ack: true, Data: e.Data})
 		return
 	}
 	number := binary.LittleEndian.Uint64(e.Data[:])
-	waiting, ours := c.awaitingPing[number]
-	if !ours {
+	waiting, ok := c.awaitingPing[number]
+	if !ok {
 		return
 	}
 	delete(c.awaitingPing, number)
--- a/internal/h2/client/stream.go
+++ b/internal/h2/client/stream.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// notDeclared is the content length of a response without one.
+// notDeclared is the contentLength of a response without a content-length field.
 const notDeclared = -1
 
 // stream is one request and its response.
 type stream struct {
 	id               uint32
 	fields           []Field
-	body             []byte // not sent yet
+	body             []byte // the part that is not sent yet
 	headersWritten   bool   // HEADERS was written
 	endWritten       bool   // END_STREAM was written
-	sendWindow       int64  // bytes that may be sent; may be below zero (RFC 9113, section 6.9.2)
+	sendWindow       int64  // bytes that may be sent; may be negative (RFC 9113, section 6.9.2)
 	receiveWindow    int    // bytes that the server may still send
-	finalHeaders     bool   // the final response's HEADERS came
+	finalHeaders     bool   // the final response's HEADERS were received
 	contentLength    int    // declared, or notDeclared
 	emptyFrames      int
 	interimResponses int
 	response         Response
 	method           string
-	moreToCome       bool // Append will bring more of the body
-	openedWithParts  bool // it began with moreToCome: the server may process it before its end
-	streamed         bool // the response body is passed on as it comes, and has no limit
+	moreToCome       bool // Append will continue the request body
+	openedWithParts  bool // moreToCome was set at the start: the server may process the request before its end
+	streamed         bool // the response body is forwarded as it arrives, and its size is not limited
 	received         int  // bytes of the response body
-	unreturned       int  // bytes consumed that no WINDOW_UPDATE has returned yet
+	unreturned       int  // bytes consumed since the last WINDOW_UPDATE
 }
 
-// mayHaveRun reports whether a server may have begun to process it: it was written completely, or the server processes it while
-// it is being written.
+// mayHaveRun reports whether a server may have begun to process the request: it was written completely, or its body is sent in
+// parts and its HEADERS were written.
 func (s *stream) mayHaveRun() bool { return s.endWritten || s.openedWithParts && s.headersWritten }
 
-// Cancel resets a stream with CANCEL. It ends with Done, unless it has ended before.
+// Cancel resets a stream with CANCEL, which ends it with Done. It has no effect on a stream that has ended.
 func (c *Conn) Cancel(now time.Duration, id uint32) []Action {
 	c.now = max(c.now, now)
 	s := c.streams[id]
@@ -44,23 +44,23 @@
 	if s.headersWritten {
 		c.emit(WriteRSTStream{id, codeCancel})
 	}
-	e := Cancelled
+	ending := Cancelled
 	if !s.mayHaveRun() {
-		e = NotWritten
+		ending = NotWritten
 	}
-	c.endStream(s, e)
+	c.endStream(s, ending)
 	return c.takeActions()
 }
 
-// endStream ends a stream, and opens those that waited behind it.
-func (c *Conn) endStream(s *stream, e Ending) {
+// endStream ends a stream, and opens the streams that could not be opened before it.
+func (c *Conn) endStream(s *stream, ending Ending) {
 	delete(c.streams, s.id)
-	d := Done{Stream: s.id, Ending: e}
-	if e == Completed {
-		d.Response = s.response
+	done := Done{Stream: s.id, Ending: ending}
+	if ending == Completed {
+		done.Response = s.response
 	}
-	c.emit(d)
-	if !s.headersWritten { // those behind it need not wait any more
+	c.emit(done)
+	if !s.headersWritten { // streams with higher ids no longer wait for this one
 		for _, id := range c.sortedIDs() {
 			if next := c.streams[id]; !next.headersWritten {
 				if !c.awaitsPing(id) {
@@ -72,23 +72,23 @@
 	}
 }
 
-// resetStream ends a stream for a malformed response: a stream error (RFC 9113, section 5.4.2).
+// resetStream ends a stream with a stream error (RFC 9113, section 5.4.2), such as for a malformed response.
 func (c *Conn) resetStream(s *stream, code uint32) {
 	c.emit(WriteRSTStream{s.id, code})
-	e := Reset
+	ending := Reset
 	if !s.mayHaveRun() {
-		e = NotWritten // the server never gets the complete request
+		ending = NotWritten // the server never gets the complete request
 	}
-	c.endStream(s, e)
+	c.endStream(s, ending)
 }
 
-// beginStreams writes the HEADERS of a stream, and what may be sent of its body, and then those of the streams behind it.
-// Streams must be opened in the order of their ids (RFC 9113, section 5.1.1), so one that waits for a PING holds up those
-// behind it.
+// beginStreams writes the HEADERS of a stream and as much of its body as may be sent, and then does the same for the streams
+// with higher ids that waited for it. Streams must be opened in the order of their ids (RFC 9113, section 5.1.1), so one that
+// waits for the ACK of a PING delays all those with higher ids.
 func (c *Conn) beginStreams(s *stream) {
 	for _, id := range c.sortedIDs() {
 		if other := c.streams[id]; other.id < s.id && !other.headersWritten {
-			return // it is opened together with that one
+			return // this stream is opened when the other one is
 		}
 	}
 	for _, id := range c.sortedIDs() {
@@ -120,7 +120,7 @@
 	return ids
 }
 
-// awaitsPing reports whether a stream waits for the answer to a PING.
+// awaitsPing reports whether a stream waits for the ACK of a PING.
 func (c *Conn) awaitsPing(id uint32) bool {
 	for _, waiting := range c.awaitingPing {
 		if slices.Contains(waiting, id) {
--- a/internal/h2/client/stream_test.go
+++ b/internal/h2/client/stream_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A streamed response is passed on as it comes, and its window is opened again as it is consumed: the server can have at most
-// MaxBodyBytes unconsumed bytes on the way, and a stream over that is reset.
+// A streamed response is forwarded as it arrives, and its window is returned as it is consumed: the server may send at most
+// MaxBodyBytes unconsumed bytes, and a stream with more is reset.
 func TestStreamedResponse(t *testing.T) {
 	c, _ := New(0, Config{MaxBodyBytes: 1000})
 	c.Handle(0, Settings{})
@@ -17,7 +17,7 @@
 		Name:  "content-type",
 		Value: "a",
 	}}}); len(l) != 0 {
-		t.Errorf("Began came before the first byte of the body: %+v", l)
+		t.Errorf("Began before the first byte of the body: %+v", l)
 	}
 	l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 900)})
 	if len(l) != 2 || l[0].(Began).Response.Header[0].Value != "a" || len(l[1].(BodyChunk).Bytes) != 900 {
@@ -37,21 +37,21 @@
 		t.Errorf("a byte over the window: %+v", l)
 	}
 	if l := c.Consumed(0, id, 900); len(l) != 0 {
-		t.Errorf("Consumed after with trailers: %+v", l)
+		t.Errorf("Consumed after the stream was reset: %+v", l)
 	}
-	// Trailers end it, and a declared content-length is checked.
+	// Trailers end the stream, and a declared content-length is checked.
 	id, _ = c.RequestStreamed(0, []Field{{":method", "POST"}}, []byte("x"), false, false)
 	c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}}})
 	c.Handle(0, Data{Stream: id, Bytes: []byte("abc")})
 	l = c.Handle(0, Headers{Stream: id, Fields: []Field{{"grpc-status", "0"}}, End: true})
-	if d, is := l[len(l)-1].(Done); !is || d.Ending != Completed || len(d.Response.Trailer) != 1 || d.Response.Body != nil {
+	if d, ok := l[len(l)-1].(Done); !ok || d.Ending != Completed || len(d.Response.Trailer) != 1 || d.Response.Body != nil {
 		t.Errorf("with trailers: %+v", l)
 	}
 	id, _ = c.RequestStreamed(0, []Field{{":method", "POST"}}, []byte("x"), false, false)
 	c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}, {"content-length", "5"}}})
 	c.Handle(0, Data{Stream: id, Bytes: []byte("abc")})
 	l = c.Handle(0, Headers{Stream: id, Fields: []Field{{"grpc-status", "0"}}, End: true})
-	if d, is := l[len(l)-1].(Done); !is || d.Ending != Reset {
+	if d, ok := l[len(l)-1].(Done); !ok || d.Ending != Reset {
 		t.Errorf("three bytes of a content-length of five: %+v", l)
 	}
 }
