--- a/internal/grpc/response.go
+++ b/internal/grpc/response.go
@@ -24,7 +24,7 @@
 }
 
 // IsGRPCResponse reports whether a response with this HTTP status and header section is gRPC, so that its messages can
-// be passed on.
+// be forwarded.
 func IsGRPCResponse(status int, header []message.Field) bool {
 	for _, field := range header {
 		if field.Name == "content-type" {
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -26,8 +26,8 @@
 // Config contains the limits of a connection. A zero value means the default.
 type Config struct {
 	MaxStreams     int           // streams open at a time, even if the server allows more; default 100
-	MaxBodyBytes   int           // size of a response body; default 64 KiB
-	MaxHeaderBytes int           // size of a response header section, as defined in section 6.5.2; default 16 KiB
+	MaxBodyBytes   int           // bytes of a response body; default 64 KiB
+	MaxHeaderBytes int           // bytes of a response header section, as section 6.5.2 counts them; default 16 KiB
 	PingAfter      time.Duration // time without a frame from the server after which a request with pingFirst waits for a PING; default 1 s
 }
 
