--- a/internal/mesh/sidecar/key_claim_breaker_test.go
+++ b/internal/mesh/sidecar/key_claim_breaker_test.go
@@ -56,7 +56,7 @@
 	}()
 	<-conn.Done()
 	assert.ErrorIs(t, conn.Err(), memberselection.SilentWhileRequestsWait)
-	assert.ErrorContains(t, conn.Err(), "silent while requests wait for it")
+	assert.ErrorContains(t, conn.Err(), "the member sent no message while requests were waiting for its answer")
 	cancel()
 	assert.ErrorIs(t, <-waited, context.Canceled)
 }
